--- a/src/client.rs
+++ b/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls over HTTP to the platform and to targets.
+//! HTTP client for calls to the platform and to targets.
 
 use std::time::Duration;
 
@@ -12,49 +12,50 @@
 use hyper_util::rt::TokioExecutor;
 
 use crate::error::{Error, Result};
-use crate::silence::end_when_silent;
+use crate::silence::enable_keepalive;
 
 /// Body of a call.
 pub type CallBody = BoxBody<Bytes, std::convert::Infallible>;
 
-/// Longest time to connect.
-const CONNECT_LIMIT: Duration = Duration::from_secs(2);
+/// Time limit for establishing a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A client that keeps connections.
+/// An HTTP client with a connection pool.
 #[derive(Clone, Debug)]
 pub struct HttpClient {
     inner: Client<HttpConnector, CallBody>,
 }
 
-/// Why a call failed.
+/// Reason why a call failed.
 #[derive(Debug)]
 pub enum CallFault {
-    /// No connection could be made: nothing was sent.
+    /// No connection could be established, so nothing was sent.
     NotSent(String),
-    /// It may have arrived.
+    /// The request may have arrived.
     Unknown(String),
 }
 
 impl HttpClient {
-    /// A client that keeps up to `idle` connections, and sends nothing twice.
+    /// Creates a client that keeps up to `max_idle` idle connections per host and never resends a
+    /// request.
     #[must_use]
-    pub fn new(idle: usize) -> Self {
+    pub fn new(max_idle: usize) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
-        connector.set_connect_timeout(Some(CONNECT_LIMIT));
-        end_when_silent(&mut connector);
+        connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
+        enable_keepalive(&mut connector);
         let inner = Client::builder(TokioExecutor::new())
-            .pool_max_idle_per_host(idle)
+            .pool_max_idle_per_host(max_idle)
             .retry_canceled_requests(false)
             .build(connector);
         HttpClient { inner }
     }
 
-    /// Sends a request and returns as soon as the head of the answer is here.
+    /// Sends a request and returns when the head of the answer arrives.
     ///
     /// # Errors
     ///
-    /// The fault says whether anything may have arrived.
+    /// The fault states whether the request may have arrived.
     pub async fn send(
         &self,
         request: Request<CallBody>,
@@ -65,15 +66,15 @@
         })
     }
 
-    /// Sends a request and reads the whole answer, within a time limit.
+    /// Sends a request and reads the complete answer within a time limit.
     ///
     /// # Errors
     ///
-    /// No answer in time, or a broken one: the call may have taken effect.
+    /// The answer did not arrive in time or is broken; the call may have taken effect.
     pub async fn call(
         &self,
         request: Request<CallBody>,
-        limit: Duration,
+        time_limit: Duration,
     ) -> Result<Response<Bytes>> {
         let work = async {
             let response = self.send(request).await.map_err(|fault| match fault {
@@ -83,7 +84,7 @@
             let body = body.collect().await.map_err(Error::unreachable)?;
             Ok(Response::from_parts(parts, body.to_bytes()))
         };
-        tokio::time::timeout(limit, work).await.map_err(Error::unreachable)?
+        tokio::time::timeout(time_limit, work).await.map_err(Error::unreachable)?
     }
 }
 
@@ -94,14 +95,14 @@
     }
 }
 
-/// A body of one piece.
+/// Creates a body from one buffer.
 pub fn full(body: impl Into<Bytes>) -> CallBody {
     Full::new(body.into()).boxed()
 }
 
-/// A body of pieces that are sent as they are.
+/// Creates a body from chunks, which are sent unchanged.
 #[must_use]
-pub fn pieces(parts: Vec<Bytes>) -> CallBody {
-    let frames = parts.into_iter().map(|part| Ok(Frame::data(part)));
+pub fn pieces(chunks: Vec<Bytes>) -> CallBody {
+    let frames = chunks.into_iter().map(|chunk| Ok(Frame::data(chunk)));
     BodyExt::boxed(StreamBody::new(futures_util::stream::iter(frames)))
 }
--- a/src/relay/proxy/connections.rs
+++ b/src/relay/proxy/connections.rs
@@ -1,4 +1,4 @@
-//! Connections to targets, kept for a while after use.
+//! Connections to targets, pooled for reuse.
 
 use std::collections::HashMap;
 use std::io::ErrorKind;
@@ -13,24 +13,24 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 
-use crate::silence::limit_unacked;
+use crate::silence::set_unacked_timeout;
 use crate::time::Tick;
 
-/// Longest time for a connection to come up: a few round trips between
-/// failure domains, and less than a lost first packet costs.
-const CONNECT_LIMIT: Duration = Duration::from_millis(600);
+/// Time limit for establishing a connection: a few round trips between failure domains, and less
+/// than a lost first packet costs.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Longest rest of a kept connection where the target states none.
-const DEFAULT_REST: Duration = Duration::from_secs(4);
+/// Idle time-out of a pooled connection if the target states none.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Part of the stated time for which a connection is kept: it counts from an
-/// earlier moment at the target than here.
-const REST_PART: f64 = 0.6;
+/// Fraction of the stated idle time-out for which a connection is kept: the target starts counting
+/// earlier than this process does.
+const IDLE_TIMEOUT_FRACTION: f64 = 0.6;
 
-/// Most connections that are kept for a target.
-const KEPT: usize = 24;
+/// Maximum number of idle connections per target.
+const MAX_IDLE_PER_TARGET: usize = 24;
 
-/// A connection to a target. It is closed at once when it is dropped.
+/// A connection to a target. Dropping it closes it at once.
 #[derive(Debug)]
 pub(crate) struct TargetConnection {
     pub(crate) sender: SendRequest<Full<Bytes>>,
@@ -44,23 +44,23 @@
     }
 }
 
-struct KeptConnection {
+struct IdleConnection {
     connection: TargetConnection,
-    until: Tick,
+    expires_at: Tick,
 }
 
-/// Kept connections by the incarnation of their target.
+/// Idle connections, keyed by the incarnation of their target.
 #[derive(Default)]
 pub(crate) struct ConnectionPool {
-    kept: HashMap<Arc<str>, Vec<KeptConnection>>,
+    idle: HashMap<Arc<str>, Vec<IdleConnection>>,
 }
 
 impl ConnectionPool {
-    /// Takes a connection that can be used now.
+    /// Returns an idle connection that is ready to send, and removes it from the pool.
     pub(crate) fn take(&mut self, target: &str, now: Tick) -> Option<TargetConnection> {
-        let kept = self.kept.get_mut(target)?;
-        while let Some(mut candidate) = kept.pop() {
-            if candidate.until > now && candidate.connection.sender.is_ready() {
+        let idle = self.idle.get_mut(target)?;
+        while let Some(mut candidate) = idle.pop() {
+            if candidate.expires_at > now && candidate.connection.sender.is_ready() {
                 candidate.connection.is_reused = true;
                 return Some(candidate.connection);
             }
@@ -68,62 +68,65 @@
         None
     }
 
-    /// Keeps a connection on which a whole answer has been read.
+    /// Adds a connection to the pool after a complete answer was read from it.
     pub(crate) fn put(
         &mut self,
         target: &Arc<str>,
         connection: TargetConnection,
-        rest: Option<Duration>,
+        idle_timeout: Option<Duration>,
         now: Tick,
     ) {
-        let rest = rest.unwrap_or(DEFAULT_REST).min(DEFAULT_REST * 2).mul_f64(REST_PART);
-        let kept = self.kept.entry(target.clone()).or_default();
-        if kept.len() < KEPT && !connection.sender.is_closed() {
-            kept.push(KeptConnection { connection, until: now + rest });
+        let idle_timeout = idle_timeout
+            .unwrap_or(DEFAULT_IDLE_TIMEOUT)
+            .min(DEFAULT_IDLE_TIMEOUT * 2)
+            .mul_f64(IDLE_TIMEOUT_FRACTION);
+        let idle = self.idle.entry(target.clone()).or_default();
+        if idle.len() < MAX_IDLE_PER_TARGET && !connection.sender.is_closed() {
+            idle.push(IdleConnection { connection, expires_at: now + idle_timeout });
         }
     }
 
-    /// Closes what has rested for too long.
+    /// Closes idle connections that have timed out or that the target has closed.
     pub(crate) fn expire(&mut self, now: Tick) {
-        self.kept.retain(|_, kept| {
-            kept.retain(|kept| kept.until > now && !kept.connection.sender.is_closed());
-            !kept.is_empty()
+        self.idle.retain(|_, idle| {
+            idle.retain(|idle| idle.expires_at > now && !idle.connection.sender.is_closed());
+            !idle.is_empty()
         });
     }
 }
 
-/// Why no connection came up. Nothing was sent.
+/// Reason why no connection could be established. Nothing was sent.
 #[derive(Debug, derive_more::Display)]
 pub(crate) enum ConnectFault {
     #[display("no connection within the limit")]
-    Slow,
+    Timeout,
     #[display("{_0}")]
-    Refused(std::io::Error),
+    Io(std::io::Error),
     #[display("{_0}")]
     Handshake(hyper::Error),
 }
 
 impl ConnectFault {
-    /// Returns true where nobody listens there.
+    /// Returns `true` if no process listens at the address.
     pub(crate) fn is_refused(&self) -> bool {
-        matches!(self, ConnectFault::Refused(error) if error.kind() == ErrorKind::ConnectionRefused)
+        matches!(self, ConnectFault::Io(error) if error.kind() == ErrorKind::ConnectionRefused)
     }
 }
 
-/// Connects to a target.
+/// Opens a connection to a target.
 pub(crate) async fn connect(address: SocketAddr) -> Result<TargetConnection, ConnectFault> {
-    let work = async {
+    let connecting = async {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
-        limit_unacked(&stream)?;
+        set_unacked_timeout(&stream)?;
         Ok::<_, std::io::Error>(stream)
     };
-    let stream = tokio::time::timeout(CONNECT_LIMIT, work).await;
-    let stream = stream.map_err(|_| ConnectFault::Slow)?;
-    let stream = stream.map_err(ConnectFault::Refused)?;
+    let stream = tokio::time::timeout(CONNECT_TIMEOUT, connecting).await;
+    let stream = stream.map_err(|_| ConnectFault::Timeout)?;
+    let stream = stream.map_err(ConnectFault::Io)?;
     let handshake = Builder::new().handshake(TokioIo::new(stream)).await;
     let (sender, connection) = handshake.map_err(ConnectFault::Handshake)?;
-    // How it ends is seen by the request that is on it.
+    // The request on the connection sees the connection's error, so the result is dropped here.
     let task = tokio::task::spawn_local(async move { drop(connection.await) });
     Ok(TargetConnection { sender, is_reused: false, task: task.abort_handle() })
 }
--- a/src/silence.rs
+++ b/src/silence.rs
@@ -1,10 +1,9 @@
-//! Connections that go silent: no reset comes, and nothing arrives any more.
+//! Detection of silent connections, on which neither data nor a reset arrives any more.
 //!
-//! A call with a time limit of its own ends by that. A watch that waits for half a
-//! minute would not: the kernel asks the other side from time to time, and ends the
-//! connection where nothing is answered. Answers of targets are not cut so: one that
-//! is held up by the network may still come, and requests that can go elsewhere do so
-//! by limits of their own.
+//! A call with a time-out ends by that. A watch that waits for half a minute would not, so the
+//! kernel sends keep-alive probes and closes the connection if they are not answered. Connections
+//! that carry answers of targets have no keep-alive probes: an answer that the network delays may
+//! still arrive, and requests that can go to another target do so after their own time-outs.
 
 use std::io;
 use std::time::Duration;
@@ -13,34 +12,33 @@
 use socket2::SockRef;
 use tokio::net::TcpStream;
 
-/// Time without anything received after which the other side is asked.
-const ASK_AFTER: Duration = Duration::from_secs(1);
+/// Idle time after which the first keep-alive probe is sent.
+const KEEPALIVE_IDLE: Duration = Duration::from_secs(1);
 
-/// Time between two questions; the system takes whole seconds.
-const ASK_STEP: Duration = Duration::from_secs(1);
+/// Interval between keep-alive probes; the system supports whole seconds only.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Questions without an answer that end a connection: with the times above it is gone
-/// three seconds after its last byte, or sooner by the limit below. That is within the
-/// bounds for targets that leave.
-const QUESTIONS: u32 = 2;
+/// Number of unanswered keep-alive probes that close a connection. With the times above, a
+/// connection is closed three seconds after its last byte, or earlier by the time-out below. This
+/// is within the bounds for targets that leave.
+const KEEPALIVE_RETRIES: u32 = 2;
 
-/// Longest time that sent bytes may stay unacknowledged before the connection
-/// counts as broken.
-const UNACKED_LIMIT: Duration = Duration::from_secs(2);
+/// Time for which sent bytes may stay unacknowledged before the connection counts as broken.
+const UNACKED_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Ends a connection where what was sent is not acknowledged.
+/// Closes a connection if sent data is not acknowledged in time.
 ///
 /// # Errors
 ///
-/// The system does not take the option.
-pub fn limit_unacked(stream: &TcpStream) -> io::Result<()> {
-    SockRef::from(stream).set_tcp_user_timeout(Some(UNACKED_LIMIT))
+/// The system rejects the socket option.
+pub fn set_unacked_timeout(stream: &TcpStream) -> io::Result<()> {
+    SockRef::from(stream).set_tcp_user_timeout(Some(UNACKED_TIMEOUT))
 }
 
-/// Ends all connections that a connector makes where the other side goes silent.
-pub fn end_when_silent(connector: &mut HttpConnector) {
-    connector.set_keepalive(Some(ASK_AFTER));
-    connector.set_keepalive_interval(Some(ASK_STEP));
-    connector.set_keepalive_retries(Some(QUESTIONS));
-    connector.set_tcp_user_timeout(Some(UNACKED_LIMIT));
+/// Closes all connections of a connector that go silent.
+pub fn enable_keepalive(connector: &mut HttpConnector) {
+    connector.set_keepalive(Some(KEEPALIVE_IDLE));
+    connector.set_keepalive_interval(Some(KEEPALIVE_INTERVAL));
+    connector.set_keepalive_retries(Some(KEEPALIVE_RETRIES));
+    connector.set_tcp_user_timeout(Some(UNACKED_TIMEOUT));
 }
