--- a/src/host_list.rs
+++ b/src/host_list.rs
@@ -9,8 +9,8 @@
 use crate::error::{Error, ErrorCode, Result};
 use crate::hosts::HostDelta;
 
-/// Longest time of a call.
-const CALL_LIMIT: Duration = Duration::from_secs(2);
+/// Time-out of a call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Client of the platform's list of hosts.
 #[derive(Clone, Debug)]
@@ -20,25 +20,25 @@
 }
 
 impl HostListClient {
-    /// A client of the list at `address`, `ip:port`.
+    /// Creates a client of the list at `address`, `ip:port`.
     #[must_use]
     pub fn new(address: Arc<str>) -> Self {
         HostListClient { address, http: HttpClient::new(1) }
     }
 
-    /// Reads what has changed since a revision, zero for all.
+    /// Reads the changes since revision `after`; zero reads the whole list.
     ///
     /// # Errors
     ///
-    /// The platform does not answer, or not with a list.
+    /// The platform did not answer, or its answer is not a list.
     pub async fn get_changes(&self, after: u64) -> Result<HostDelta> {
         let uri = format!("http://{}/hosts?after={after}", self.address);
         let mut request = Request::new(full(""));
         *request.uri_mut() = uri.parse().unwrap_or_default();
-        let response = self.http.call(request, CALL_LIMIT).await?;
+        let response = self.http.call(request, CALL_TIMEOUT).await?;
         let status = response.status().as_u16();
         if status != 200 {
-            let text = "no host list".to_owned();
+            let text = "host list not available".to_owned();
             return Err(Error::from_code(ErrorCode::Status { status, text }));
         }
         serde_json::from_slice(response.body()).map_err(Error::unreachable)
--- a/src/hosts.rs
+++ b/src/hosts.rs
@@ -1,10 +1,10 @@
-//! Hosts as the platform lists them, late.
+//! The platform's list of hosts, which may lag behind.
 
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// What runs on a host.
+/// Process type that runs on a host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum HostRole {
@@ -12,20 +12,20 @@
     Entry,
     /// A target and its agent.
     Target {
-        /// The service it belongs to.
+        /// Service that the target belongs to.
         service: Arc<str>,
     },
 }
 
-/// Whether a host takes new work.
+/// Whether a host accepts new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum HostState {
-    /// It is there.
+    /// The host is in service.
     Live,
-    /// It will be gone soon.
+    /// The host will leave soon.
     Leaving,
-    /// It is gone.
+    /// The host has left.
     Gone,
 }
 
@@ -34,13 +34,13 @@
 pub struct HostRecord {
     /// Name, unique in the fleet.
     pub name: Arc<str>,
-    /// What runs there.
+    /// Process type that runs on the host.
     pub role: HostRole,
-    /// Address of our process on it, `ip:port`.
+    /// Address of this project's process on the host, `ip:port`.
     pub address: Arc<str>,
-    /// The part of the fleet that fails together with it.
+    /// Group of hosts that fail together.
     pub failure_domain: Arc<str>,
-    /// Whether it takes new work.
+    /// Whether the host accepts new work.
     pub state: HostState,
 }
 
@@ -49,6 +49,6 @@
 pub struct HostDelta {
     /// Revision of the list after these changes.
     pub revision: u64,
-    /// Hosts that are new or changed.
+    /// New and changed hosts.
     pub hosts: Vec<HostRecord>,
 }
--- a/src/link_pool.rs
+++ b/src/link_pool.rs
@@ -1,4 +1,4 @@
-//! An entry's links to agents: made on use, closed when idle.
+//! An entry's links to agents, which are opened on first use and closed when idle.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -14,32 +14,32 @@
 };
 use crate::wire::{Framed, ToAgent, ToEntry};
 
-/// What a pool tells of its links.
+/// Events of the links of a pool.
 #[derive(Debug)]
 pub(crate) enum LinkEvent {
-    /// A link to this target stands, with this life of its agent.
+    /// A link to this target is established; the agent has this incarnation.
     Up(Arc<str>, Incarnation),
-    /// It ended, or could not be made.
+    /// The link was closed or could not be established.
     Down(Arc<str>),
-    /// A message came.
+    /// A message was received.
     Message(Arc<str>, ToEntry),
 }
 
 struct Link {
     sender: LinkSender,
     work: Rc<RefCell<OpenWork>>,
-    number: u64,
+    generation: u64,
 }
 
 struct PoolState {
     identity: PeerIdentity,
     addresses: HashMap<Arc<str>, Arc<str>>,
     links: HashMap<Arc<str>, Link>,
-    next_number: u64,
+    next_generation: u64,
     events: mpsc::UnboundedSender<LinkEvent>,
 }
 
-/// Links by target. Clones share one pool.
+/// Links, keyed by target. Clones share one pool.
 #[derive(Clone)]
 pub(crate) struct LinkPool {
     state: Rc<RefCell<PoolState>>,
@@ -51,22 +51,22 @@
             identity,
             addresses: HashMap::new(),
             links: HashMap::new(),
-            next_number: 0,
+            next_generation: 0,
             events,
         };
         LinkPool { state: Rc::new(RefCell::new(state)) }
     }
 
-    /// Notes where a target's agent listens.
+    /// Sets the address at which a target's agent listens.
     pub(crate) fn set_address(&self, target: Arc<str>, address: Arc<str>) {
         self.state.borrow_mut().addresses.insert(target, address);
     }
 
-    /// Sends a message, over a new link where there is none.
+    /// Sends a message, and opens a link if there is none.
     pub(crate) fn send(&self, target: &Arc<str>, message: &ToAgent) {
         let mut state = self.state.borrow_mut();
         let is_body = matches!(message, ToAgent::Body(..));
-        // A body without its link has lost its beginning.
+        // A part of a body is useless if the link that carried the earlier parts is gone.
         if is_body && !state.links.contains_key(target) {
             return;
         }
@@ -82,7 +82,7 @@
         };
         link.work.borrow_mut().note(message);
         if !link.sender.send(message.to_frame(), is_body) {
-            // Dropping the sender ends the link's task, which tells of it.
+            // Dropping the sender ends the task of the link, which then emits `LinkEvent::Down`.
             state.links.remove(target);
         }
     }
@@ -90,14 +90,14 @@
     fn open(&self, state: &mut PoolState, target: &Arc<str>, address: Arc<str>) {
         let (sender, queue) = link_queue();
         let work = Rc::new(RefCell::new(OpenWork::default()));
-        state.next_number += 1;
-        let number = state.next_number;
-        state.links.insert(target.clone(), Link { sender, work: work.clone(), number });
+        state.next_generation += 1;
+        let generation = state.next_generation;
+        state.links.insert(target.clone(), Link { sender, work: work.clone(), generation });
         let task = LinkTask {
             pool: self.clone(),
             target: target.clone(),
             address,
-            number,
+            generation,
             work,
             identity: state.identity.clone(),
             events: state.events.clone(),
@@ -105,9 +105,9 @@
         spawn_local(task.run(queue));
     }
 
-    fn forget(&self, target: &Arc<str>, number: u64) {
+    fn remove_link(&self, target: &Arc<str>, generation: u64) {
         let mut state = self.state.borrow_mut();
-        if state.links.get(target).is_some_and(|link| link.number == number) {
+        if state.links.get(target).is_some_and(|link| link.generation == generation) {
             state.links.remove(target);
         }
     }
@@ -117,7 +117,7 @@
     pool: LinkPool,
     target: Arc<str>,
     address: Arc<str>,
-    number: u64,
+    generation: u64,
     work: Rc<RefCell<OpenWork>>,
     identity: PeerIdentity,
     events: mpsc::UnboundedSender<LinkEvent>,
@@ -125,19 +125,19 @@
 
 impl LinkTask {
     async fn run(self, queue: LinkQueue) {
-        // An error is the same to the core as a link that ended at once.
+        // The core handles a failed connection like a link that closed at once.
         if let Ok((socket, peer)) = connect(&self.address, &self.identity).await {
-            self.tell(LinkEvent::Up(self.target.clone(), peer.incarnation));
+            self.emit(LinkEvent::Up(self.target.clone(), peer.incarnation));
             let on_message = |message: ToEntry| {
-                self.tell(LinkEvent::Message(self.target.clone(), message));
+                self.emit(LinkEvent::Message(self.target.clone(), message));
             };
             run_link(socket, queue, LinkSide::Connecting, &self.work, on_message).await;
         }
-        self.pool.forget(&self.target, self.number);
-        self.tell(LinkEvent::Down(self.target.clone()));
+        self.pool.remove_link(&self.target, self.generation);
+        self.emit(LinkEvent::Down(self.target.clone()));
     }
 
-    fn tell(&self, event: LinkEvent) {
+    fn emit(&self, event: LinkEvent) {
         let _ = self.events.send(event);
     }
 }
--- a/src/retry_after.rs
+++ b/src/retry_after.rs
@@ -1,16 +1,17 @@
-//! `Retry-After`, by which a server that turns a request away says for how long it wants
-//! nothing more.
+//! `Retry-After` header, by which a server that refuses a request asks for back-off.
 
 use std::time::Duration;
 
 use hyper::header::{HeaderMap, RETRY_AFTER};
 
-/// Longest time that is taken: a value that is far off is more likely a mistake than a wish,
-/// and the next answer may repeat it.
-pub const LONGEST_WAIT: Duration = Duration::from_secs(600);
+/// Upper limit of the time: a much longer one is more likely a mistake than intended, and the next
+/// answer can repeat it.
+pub const MAX_RETRY_AFTER: Duration = Duration::from_secs(600);
 
-/// Reads the time, in seconds and fractions; none where no value is such a time. Of several
-/// the longest holds, and one beyond [`LONGEST_WAIT`] counts as that.
+/// Parses the back-off time, in seconds with an optional fraction; `None` if no value is a positive
+/// number.
+///
+/// Of several values the largest one applies, limited to [`MAX_RETRY_AFTER`].
 ///
 /// # Example
 ///
@@ -32,6 +33,7 @@
     let values = texts.flat_map(|text| text.split(','));
     let seconds = values.filter_map(|value| value.trim().parse::<f64>().ok());
     let seconds = seconds.filter(|seconds| seconds.is_finite() && *seconds > 0.0);
-    let times = seconds.map(|seconds| Duration::try_from_secs_f64(seconds).unwrap_or(LONGEST_WAIT));
-    times.max().map(|time| time.min(LONGEST_WAIT))
+    let times =
+        seconds.map(|seconds| Duration::try_from_secs_f64(seconds).unwrap_or(MAX_RETRY_AFTER));
+    times.max().map(|time| time.min(MAX_RETRY_AFTER))
 }
