--- a/src/relay/proxy/answer.rs
+++ b/src/relay/proxy/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to callers: bodies, and the answers that the relay gives itself.
+//! Responses to callers: body types, and the failures that the relay itself answers.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -16,18 +16,18 @@
 use crate::verdict::Verdict;
 use crate::web::set_verdict;
 
-/// The rest of an answer is not to be had: its connection is closed without
-/// the end that would make it look whole.
+/// The answer cannot be completed. The caller's connection is closed without the regular end of the
+/// body, so that the caller does not take the answer for complete.
 #[derive(Clone, Copy, Debug, Display, Error)]
-#[display("the answer broke off")]
+#[display("answer ended before it was complete")]
 pub(crate) struct BrokenAnswer;
 
-/// Body of an answer.
+/// Body of a response to a caller.
 pub(crate) enum RelayBody {
-    /// Whole.
-    Whole(Full<Bytes>),
-    /// In parts as they come.
-    Parts(mpsc::Receiver<Result<Bytes, BrokenAnswer>>),
+    /// Complete body, read before it is sent.
+    Buffered(Full<Bytes>),
+    /// Chunks, forwarded as they arrive.
+    Streamed(mpsc::Receiver<Result<Bytes, BrokenAnswer>>),
 }
 
 pub(crate) type RelayAnswer = Response<RelayBody>;
@@ -41,77 +41,95 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BrokenAnswer>>> {
         match self.get_mut() {
-            RelayBody::Whole(body) => {
+            RelayBody::Buffered(body) => {
                 Pin::new(body).poll_frame(context).map_err(|never| match never {})
             }
-            RelayBody::Parts(parts) => {
-                parts.poll_recv(context).map(|part| part.map(|part| part.map(Frame::data)))
+            RelayBody::Streamed(chunks) => {
+                chunks.poll_recv(context).map(|chunk| chunk.map(|chunk| chunk.map(Frame::data)))
             }
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            RelayBody::Whole(body) => body.is_end_stream(),
-            RelayBody::Parts(_) => false,
+            RelayBody::Buffered(body) => body.is_end_stream(),
+            RelayBody::Streamed(_) => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            RelayBody::Whole(body) => body.size_hint(),
-            RelayBody::Parts(_) => SizeHint::default(),
+            RelayBody::Buffered(body) => body.size_hint(),
+            RelayBody::Streamed(_) => SizeHint::default(),
         }
     }
 }
 
-/// A failure that the relay answers itself.
+/// A failure that the relay itself answers.
 #[derive(Clone, Debug)]
 pub(crate) struct RelayFault {
     pub(crate) status: StatusCode,
     pub(crate) code: &'static str,
-    pub(crate) why: String,
+    pub(crate) message: String,
     pub(crate) verdict: Verdict,
     pub(crate) retry_after: Option<Duration>,
 }
 
 impl RelayFault {
-    /// Refused without having run; the caller may come back.
-    pub(crate) fn refused(code: &'static str, why: impl Into<String>, after: Duration) -> Self {
+    /// Refused without having run; the caller may retry after `retry_after`.
+    pub(crate) fn refused(
+        code: &'static str,
+        message: impl Into<String>,
+        retry_after: Duration,
+    ) -> Self {
         RelayFault {
             status: StatusCode::SERVICE_UNAVAILABLE,
             code,
-            why: why.into(),
+            message: message.into(),
             verdict: Verdict::NotRun,
-            retry_after: Some(after),
+            retry_after: Some(retry_after),
         }
     }
 
-    /// Refused for what the request is.
-    pub(crate) fn bad(status: StatusCode, code: &'static str, why: impl Into<String>) -> Self {
-        RelayFault { status, code, why: why.into(), verdict: Verdict::NotRun, retry_after: None }
+    /// Rejected because of the request itself; a retry does not help.
+    pub(crate) fn invalid(
+        status: StatusCode,
+        code: &'static str,
+        message: impl Into<String>,
+    ) -> Self {
+        RelayFault {
+            status,
+            code,
+            message: message.into(),
+            verdict: Verdict::NotRun,
+            retry_after: None,
+        }
     }
 
-    /// Failed, and may have run.
-    pub(crate) fn failed(status: StatusCode, code: &'static str, why: impl Into<String>) -> Self {
+    /// Failed after it may have run.
+    pub(crate) fn failed(
+        status: StatusCode,
+        code: &'static str,
+        message: impl Into<String>,
+    ) -> Self {
         let verdict = Verdict::MayHaveRun;
-        RelayFault { status, code, why: why.into(), verdict, retry_after: None }
+        RelayFault { status, code, message: message.into(), verdict, retry_after: None }
     }
 
     pub(crate) fn into_answer(self, dialect: &CallerDialect, id: &str) -> RelayAnswer {
         #[derive(Serialize)]
-        struct FaultText<'a> {
+        struct FaultBody<'a> {
             code: &'a str,
             message: &'a str,
             verdict: Verdict,
         }
-        let text = FaultText { code: self.code, message: &self.why, verdict: self.verdict };
-        let body = serde_json::to_vec(&text).unwrap_or_default();
-        let mut response = Response::new(RelayBody::Whole(Full::new(body.into())));
+        let fault = FaultBody { code: self.code, message: &self.message, verdict: self.verdict };
+        let body = serde_json::to_vec(&fault).unwrap_or_default();
+        let mut response = Response::new(RelayBody::Buffered(Full::new(body.into())));
         *response.status_mut() = self.status;
         set_verdict(response.headers_mut(), self.verdict, id);
-        if let Some(span) = self.retry_after {
-            (dialect.set_retry_after)(response.headers_mut(), span);
+        if let Some(delay) = self.retry_after {
+            (dialect.set_retry_after)(response.headers_mut(), delay);
         }
         response
     }
--- a/src/relay/proxy/dialect.rs
+++ b/src/relay/proxy/dialect.rs
@@ -1,5 +1,5 @@
-//! How callers and targets are spoken to: names and formats, which an adapter
-//! gives, for the decisions that are made here.
+//! Protocol adapters: functions and names that translate the protocols of callers and targets into
+//! the types that the relay decides on.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,145 +10,145 @@
 
 use crate::relay::decide::target_notice::TargetNotice;
 
-/// What the head of a caller's request says.
+/// Contents of the headers of a caller's request.
 #[derive(Clone, Debug, Default)]
 pub struct CallerHead {
-    /// Names this one sending of the request.
+    /// Id of this attempt of the caller to send the request.
     pub attempt: Option<Arc<str>>,
-    /// Key of the caller's account.
+    /// API key of the caller's account.
     pub key: Option<Arc<str>>,
-    /// How long the caller waits.
+    /// Time for which the caller waits for the answer.
     pub patience: Option<Duration>,
-    /// Id of the last event that the caller has of this stream.
+    /// Id of the last event of this stream that the caller has received.
     pub resume_after: Option<u64>,
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub prompt_tokens: Option<u64>,
-    /// Most tokens of the answer.
+    /// Maximum number of tokens in the answer.
     pub most_answer_tokens: Option<u64>,
-    /// The caller's guess at the tokens of the answer.
+    /// Number of answer tokens that the caller expects.
     pub guessed_answer_tokens: Option<u64>,
 }
 
-/// A target that helps to read a prompt.
+/// A target that helps to prefill a prompt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HelperSeat {
-    /// Where it listens.
+    /// Address at which the helper listens.
     pub address: SocketAddr,
-    /// Name of the memory that was reserved there, none where only its time
-    /// is used.
+    /// Id of the memory reservation at the helper; `None` if the helper gives only compute time.
     pub reservation: Option<Arc<str>>,
 }
 
-/// What the head of a request to a target says beside what the caller said.
+/// What the headers of a request to a target carry in addition to the caller's headers.
 #[derive(Clone, Debug)]
 pub struct TargetHead<'a> {
-    /// The life of the target that the request is meant for.
+    /// Incarnation of the target that the request is meant for.
     pub incarnation: &'a str,
-    /// The account that the caller's key belongs to.
+    /// Account that the caller's key belongs to.
     pub account: Option<&'a str>,
-    /// Time that is left for it.
+    /// Time that is left for the request.
     pub time_left: Duration,
-    /// Id of the last event that the caller has.
+    /// Id of the last event that the caller has received.
     pub resume_after: Option<u64>,
-    /// Targets that help to read the prompt.
+    /// Targets that help to prefill the prompt.
     pub helpers: &'a [HelperSeat],
 }
 
-/// What the head of a target's answer says.
-#[expect(clippy::struct_excessive_bools, reason = "independent marks of a message")]
+/// Contents of the headers of a target's answer.
+#[expect(clippy::struct_excessive_bools, reason = "independent flags of a message")]
 #[derive(Clone, Debug, Default)]
 pub struct AnswerHead {
-    /// The sending of a request that it answers.
+    /// Id of the attempt that is answered.
     pub attempt: Option<Arc<str>>,
-    /// True where it carries the signature of a target.
+    /// Whether the answer carries the signature of a target.
     pub is_signed: bool,
-    /// True where the target says for sure that it did not run the request.
+    /// Whether the target states that it did not run the request.
     pub is_not_run: bool,
-    /// True where another life of a target has the address.
+    /// Whether another instance of a target now uses the address.
     pub is_replaced: bool,
-    /// True where the body is in an encoding that nobody asked for.
+    /// Whether the body has a content encoding, although none was requested.
     pub is_encoded: bool,
-    /// How long the target keeps the connection without use.
+    /// Time for which the target keeps the idle connection open.
     pub keep_alive: Option<Duration>,
-    /// True where the target closes the connection.
+    /// Whether the target closes the connection after this answer.
     pub is_last: bool,
-    /// Address of a target that the answer blames.
+    /// Address of another target that the answer names as the cause of its failure.
     pub blamed: Option<SocketAddr>,
-    /// What the target says of itself.
+    /// What the target reports about itself.
     pub notice: TargetNotice,
 }
 
-/// Memory to be reserved at a target.
+/// A request to reserve memory at a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reservation {
-    /// Its name, chosen here.
+    /// Id of the reservation, chosen by this entry.
     pub id: Arc<str>,
-    /// How many tokens it holds.
+    /// Number of tokens that the memory is reserved for.
     pub tokens: u64,
-    /// How long it lasts without renewal.
+    /// Time after which the reservation expires unless it is renewed.
     pub hold: Duration,
-    /// Whether it may wait for memory that is not free now. Nothing new is let
-    /// in at the target while it does.
+    /// Whether the reservation may wait for memory that is not free yet. The target admits no new
+    /// requests while a reservation waits.
     pub may_wait: bool,
 }
 
-/// What a target says to a reservation.
+/// A target's reply to a reservation request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReserveReply {
-    /// The memory is set aside.
+    /// The memory is reserved.
     Held,
-    /// It will be set aside as soon as it is free.
+    /// The memory will be reserved as soon as it is free.
     Waiting,
-    /// It is not free.
+    /// The memory is not free.
     Refused,
 }
 
-/// A call to a target that is not a caller's request.
+/// A call that the entry itself makes to a target, rather than on behalf of a caller.
 #[derive(Clone, Debug)]
 pub struct TargetCall {
-    /// Path to be sent to.
+    /// Path of the call.
     pub path: &'static str,
-    /// Body in JSON.
+    /// JSON body.
     pub body: Vec<u8>,
 }
 
-/// What a target says of itself.
+/// A target's report about itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TargetReport {
-    /// How much slower than declared it works.
+    /// Slowdown: the factor by which the target is slower than declared.
     pub pace: f64,
-    /// When it started, in Unix milliseconds, where it says so.
+    /// Start time in Unix milliseconds; `None` if the target does not state it.
     pub born_ms: Option<u64>,
 }
 
-/// How callers are spoken to.
+/// Protocol adapter for callers.
 #[derive(Clone, Copy, Debug)]
 pub struct CallerDialect {
-    /// Reads the head of a request.
+    /// Parses the headers of a request.
     pub parse_head: fn(&HeaderMap) -> CallerHead,
-    /// Says in an answer when to come back.
+    /// Sets the time after which the caller may retry in the headers of an answer.
     pub set_retry_after: fn(&mut HeaderMap, Duration),
-    /// Path by which the balancer asks whether this process takes callers.
+    /// Path at which the load balancer checks whether this process accepts callers.
     pub readiness_path: &'static str,
 }
 
-/// How targets are spoken to.
+/// Protocol adapter for targets.
 #[derive(Clone, Copy, Debug)]
 pub struct TargetDialect {
-    /// Takes out of a caller's head what is not for targets, and adds what is.
+    /// Removes the caller's headers that are not meant for targets, and adds those of the
+    /// [`TargetHead`].
     pub set_head: fn(&mut HeaderMap, &TargetHead<'_>),
-    /// Reads the head of an answer.
+    /// Parses the status and headers of an answer.
     pub parse_answer: fn(StatusCode, &HeaderMap) -> AnswerHead,
-    /// Takes out of an answer's head what is not for callers.
+    /// Removes the headers of an answer that are not meant for callers.
     pub clear_answer: fn(&mut HeaderMap),
-    /// A call that reserves memory or renews a reservation.
+    /// Builds the call that makes or renews a reservation.
     pub to_reserve: fn(&Reservation) -> TargetCall,
-    /// A call that gives memory back.
+    /// Builds the call that releases a reservation.
     pub to_release: fn(&str) -> TargetCall,
-    /// Reads the answer to a reservation.
+    /// Parses the status of the answer to a reservation call.
     pub parse_reserve: fn(StatusCode) -> ReserveReply,
-    /// Path of the target's report of itself.
+    /// Path of the target's report about itself.
     pub report_path: &'static str,
-    /// Reads that report.
+    /// Parses the body of that report.
     pub parse_report: fn(&[u8]) -> crate::Result<TargetReport>,
 }
--- a/src/relay/proxy/event_stream.rs
+++ b/src/relay/proxy/event_stream.rs
@@ -1,69 +1,70 @@
-//! Cuts a stream of server-sent events into whole events.
+//! Splits a stream of server-sent events into complete events.
 //!
-//! Only whole events are passed on, so that another target can continue a
-//! stream that broke within one.
+//! Only complete events are forwarded, so that another target can continue a stream that broke in
+//! the middle of an event.
 
 use bytes::{Bytes, BytesMut};
 
-/// Longest event that is waited for, in bytes; a longer one is no event.
-const MAX_EVENT: usize = 256 * 1024;
+/// Size limit of an event, in bytes. More bytes without the end of an event are an error.
+const MAX_EVENT_BYTES: usize = 256 * 1024;
 
-/// Collects bytes and gives back whole events.
+/// Buffers bytes and returns complete events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
-    rest: BytesMut,
+    buffer: BytesMut,
     last_id: Option<u64>,
 }
 
-/// Bytes without the end of an event, or an event without an ascending id.
+/// Invalid event stream: an event is too long, or its id does not ascend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EventFault;
 
 impl EventSplitter {
-    /// Adds bytes and takes all events that are whole now, as one piece.
+    /// Adds bytes and returns all events that are complete now, concatenated; `None` if no event is
+    /// complete.
     ///
     /// # Errors
     ///
     /// The bytes are not a stream of events with ascending ids.
-    pub fn push(&mut self, part: &[u8]) -> Result<Option<Bytes>, EventFault> {
-        self.rest.extend_from_slice(part);
-        let mut whole = 0;
-        while let Some(end) = find_end(&self.rest[whole..]) {
-            let event = &self.rest[whole..whole + end];
+    pub fn push(&mut self, chunk: &[u8]) -> Result<Option<Bytes>, EventFault> {
+        self.buffer.extend_from_slice(chunk);
+        let mut complete_len = 0;
+        while let Some(end) = find_event_end(&self.buffer[complete_len..]) {
+            let event = &self.buffer[complete_len..complete_len + end];
             if let Some(id) = parse_id(event) {
                 if self.last_id.is_some_and(|last| id <= last) {
                     return Err(EventFault);
                 }
                 self.last_id = Some(id);
             }
-            whole += end;
+            complete_len += end;
         }
-        if self.rest.len() - whole > MAX_EVENT {
+        if self.buffer.len() - complete_len > MAX_EVENT_BYTES {
             return Err(EventFault);
         }
-        Ok((whole > 0).then(|| self.rest.split_to(whole).freeze()))
+        Ok((complete_len > 0).then(|| self.buffer.split_to(complete_len).freeze()))
     }
 
-    /// Id of the last whole event.
+    /// Returns the id of the last complete event.
     #[must_use]
     pub fn last_id(&self) -> Option<u64> {
         self.last_id
     }
 
-    /// Returns true where part of an event is still waiting for its end.
+    /// Returns `true` if the buffer holds part of an event.
     #[must_use]
-    pub fn has_rest(&self) -> bool {
-        !self.rest.is_empty()
+    pub fn has_partial_event(&self) -> bool {
+        !self.buffer.is_empty()
     }
 
-    /// Forgets the part of an event that its target did not finish.
-    pub fn clear_rest(&mut self) {
-        self.rest.clear();
+    /// Discards a partial event, whose target did not complete it.
+    pub fn clear_partial_event(&mut self) {
+        self.buffer.clear();
     }
 }
 
-/// Length of the first event with the blank line that ends it.
-fn find_end(bytes: &[u8]) -> Option<usize> {
+/// Returns the length of the first event, including the blank line that ends it.
+fn find_event_end(bytes: &[u8]) -> Option<usize> {
     bytes.windows(2).position(|pair| pair == b"\n\n").map(|at| at + 2)
 }
 
--- a/src/relay/proxy/exchange.rs
+++ b/src/relay/proxy/exchange.rs
@@ -1,4 +1,4 @@
-//! A caller's request at its arrival: who may send it, and what it asks for.
+//! Entry point for a caller's request: checks access and reads the request.
 
 use std::cell::OnceCell;
 use std::rc::Rc;
@@ -14,7 +14,7 @@
 use super::dialect::CallerHead;
 use super::forward::RelayJob;
 use super::ledger::RequestLedger;
-use super::series::{NO_ROOM_RETRY, to_hold};
+use super::series::{NO_ROOM_RETRY_DELAY, quarantine_fault};
 use super::stream::serve_stream;
 use crate::relay::core::{Refusal, RelayCore};
 use crate::relay::decide::placement::PromptNeed;
@@ -24,13 +24,13 @@
 use crate::time::Tick;
 use crate::web::{BodyFault, read_body};
 
-/// Time to come back after a refusal by an entry that stops or has no configuration:
-/// another one may serve at once. In an outage for all, callers that came back later
-/// crowded out new ones (`docs/design/decisions.md`).
-const OTHER_ENTRY_RETRY: Duration = Duration::from_millis(100);
+/// Retry delay after a refusal by an entry that is stopping or has no configuration: another entry
+/// may serve the request at once. With a longer delay, callers that came back after an outage of
+/// all entries crowded out new ones (`docs/design/decisions.md`).
+const OTHER_ENTRY_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Answer tokens that are assumed where a caller says nothing.
-const ASSUMED_ANSWER: u64 = 1_500;
+/// Number of answer tokens that is assumed if the caller states none.
+const DEFAULT_ANSWER_TOKENS: u64 = 1_500;
 
 /// Serves one request.
 pub(crate) async fn serve(shared: Rc<RelayShared>, request: Request<Incoming>) -> RelayAnswer {
@@ -47,10 +47,10 @@
         }
         Err(fault) => finish(&shared, Err(fault), &mut ledger, &id),
     };
-    close_where_stopping(&shared, answer)
+    close_if_stopping(&shared, answer)
 }
 
-fn close_where_stopping(shared: &RelayShared, mut answer: RelayAnswer) -> RelayAnswer {
+fn close_if_stopping(shared: &RelayShared, mut answer: RelayAnswer) -> RelayAnswer {
     if shared.is_stopping.get() {
         answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
@@ -69,13 +69,13 @@
             answer
         }
         Err(fault) => {
-            ledger.end_fault(&fault);
+            ledger.end_with_fault(&fault);
             fault.into_answer(&shared.callers, id)
         }
     }
 }
 
-/// Reads a request and finds what it may do.
+/// Checks whether a request may be served, reads its body and finds its route and service.
 async fn admit(
     shared: &Rc<RelayShared>,
     request: Request<Incoming>,
@@ -84,7 +84,11 @@
     arrived: Tick,
 ) -> Result<RelayJob, RelayFault> {
     if shared.is_closed_to_new.get() {
-        return Err(RelayFault::refused("stopping", "this entry is stopping", OTHER_ENTRY_RETRY));
+        return Err(RelayFault::refused(
+            "stopping",
+            "this entry is stopping",
+            OTHER_ENTRY_RETRY_DELAY,
+        ));
     }
     shared.wait_for_start().await;
     let (parts, body) = request.into_parts();
@@ -94,28 +98,27 @@
         let mut core = shared.core.borrow_mut();
         core.admit(host, parts.uri.path(), head.key.as_deref(), arrived)
     };
-    let access = access.map_err(to_refusal)?;
+    let access = access.map_err(refusal_fault)?;
     let limits = shared.core.borrow().rules().limits();
     let time_limit = head.patience.unwrap_or(access.route.time_limit).min(access.route.time_limit);
     let deadline = arrived + time_limit;
-    let body = read_body(body, limits.max_body, time_limit).await.map_err(to_body_fault)?;
-    // The body may have taken long: what let the request in has to hold when it
-    // was there whole, too.
+    let body = read_body(body, limits.max_body, time_limit).await.map_err(body_fault)?;
+    // Reading the body may take long, so the configuration must still be current after it.
     if !shared.core.borrow().may_serve(&access.route, shared.now()) {
-        return Err(to_refusal(Refusal::NotFresh));
+        return Err(refusal_fault(Refusal::NotFresh));
     }
     if head.attempt.is_none() {
-        let why = "the request names no attempt";
-        return Err(RelayFault::bad(StatusCode::BAD_REQUEST, "no_attempt", why));
+        let message = "the request names no attempt";
+        return Err(RelayFault::invalid(StatusCode::BAD_REQUEST, "no_attempt", message));
     }
     let domains = shared.core.borrow().home_domains(&access);
     let Access { route, account } = access;
     let account = account.map(|account| account.name.clone());
     let Some(service) = RelayCore::pick_service(&route, xxhash_rust::xxh3::xxh3_64(id.as_bytes()))
     else {
-        return Err(RelayFault::refused("no_service", "the route has none", NO_ROOM_RETRY));
+        return Err(RelayFault::refused("no_service", "the route has none", NO_ROOM_RETRY_DELAY));
     };
-    let need = to_need(shared, &route, &service, &head);
+    let need = to_prompt_need(shared, &route, &service, &head);
     let need = need.map(|need| PromptNeed { time_left: time_limit, ..need });
     let job = RelayJob {
         route,
@@ -131,16 +134,16 @@
         arrived,
         deadline,
         need,
-        known_digest: OnceCell::new(),
+        cached_digest: OnceCell::new(),
     };
-    if let Some(span) = job.held_for(shared) {
-        return Err(to_hold(span));
+    if let Some(time_left) = job.quarantine_time_left(shared) {
+        return Err(quarantine_fault(time_left));
     }
     shared.core.borrow_mut().note_request(&job.service, shared.now());
     Ok(job)
 }
 
-fn to_need(
+fn to_prompt_need(
     shared: &RelayShared,
     route: &RouteRule,
     service: &str,
@@ -148,10 +151,10 @@
 ) -> Option<PromptNeed> {
     let rules = shared.core.borrow().rules();
     rules.service(service)?.engine.as_ref()?;
-    let most = head.most_answer_tokens.unwrap_or(ASSUMED_ANSWER);
+    let max_tokens = head.most_answer_tokens.unwrap_or(DEFAULT_ANSWER_TOKENS);
     Some(PromptNeed {
         prompt: head.prompt_tokens.unwrap_or(0),
-        answer: head.guessed_answer_tokens.unwrap_or(most).min(most),
+        answer: head.guessed_answer_tokens.unwrap_or(max_tokens).min(max_tokens),
         first_limit: route.objective,
         waited: Duration::ZERO,
         time_left: route.time_limit,
@@ -161,24 +164,24 @@
 }
 
 #[cold]
-fn to_refusal(refusal: Refusal) -> RelayFault {
+fn refusal_fault(refusal: Refusal) -> RelayFault {
     match refusal {
         Refusal::NotFresh => {
-            let why = "the configuration can not be proven current here";
-            RelayFault::refused("not_ready", why, OTHER_ENTRY_RETRY)
+            let message = "the configuration can not be proven current here";
+            RelayFault::refused("not_ready", message, OTHER_ENTRY_RETRY_DELAY)
         }
         Refusal::NoRoute => {
-            RelayFault::bad(StatusCode::NOT_FOUND, "no_route", "no route takes this path")
+            RelayFault::invalid(StatusCode::NOT_FOUND, "no_route", "no route takes this path")
         }
         Refusal::BadKey => {
-            RelayFault::bad(StatusCode::UNAUTHORIZED, "bad_key", "the key is not known")
+            RelayFault::invalid(StatusCode::UNAUTHORIZED, "bad_key", "the key is not known")
         }
     }
 }
 
 #[cold]
-fn to_body_fault(fault: BodyFault) -> RelayFault {
-    let (status, code, why) = match fault {
+fn body_fault(fault: BodyFault) -> RelayFault {
+    let (status, code, message) = match fault {
         BodyFault::TooLarge => {
             (StatusCode::PAYLOAD_TOO_LARGE, "body_too_large", "the body is too large")
         }
@@ -187,5 +190,5 @@
         }
         BodyFault::Broken => (StatusCode::BAD_REQUEST, "broken_body", "the body broke off"),
     };
-    RelayFault::bad(status, code, why)
+    RelayFault::invalid(status, code, message)
 }
--- a/src/relay/proxy/forward.rs
+++ b/src/relay/proxy/forward.rs
@@ -1,4 +1,4 @@
-//! One attempt: a request on its way to a target, and the head of its answer.
+//! One attempt: sends a request to a target and waits for the head of the answer.
 
 use std::cell::OnceCell;
 use std::net::SocketAddr;
@@ -27,30 +27,29 @@
 use crate::time::Tick;
 use crate::verdict::Verdict;
 
-/// Least silence of a target with work after which a prompt is taken elsewhere,
-/// beside the time that its first event was foretold to take. Callers of short
-/// prompts wait for two seconds.
-const SILENCE_LIMIT: Duration = Duration::from_millis(1_300);
+/// Minimum silence of a busy target after which a prompt is sent to another target. The request
+/// also waits for the predicted time to its first event. Callers of short prompts wait for two
+/// seconds.
+const MIN_SILENCE_TIMEOUT: Duration = Duration::from_millis(1_300);
 
-/// Part of the foretold time to the first event that is waited in any case.
-const FORETOLD_PART: f64 = 1.5;
+/// Multiple of the predicted time to the first event that a request waits in any case.
+const PREDICTION_FACTOR: f64 = 1.5;
 
-/// Part of the objective of a plain call after which another target is tried.
-const HEDGE_PART: f64 = 0.8;
+/// Fraction of the objective of a plain call after which another target is tried.
+const HEDGE_FRACTION: f64 = 0.8;
 
-/// Part of the objective after which a prompt that waits is placed anew, as its
-/// divisor: a pass or two for long prompts, and a decision costs a small host
-/// some milliseconds.
-const PLACE_WAITS: u32 = 30;
+/// A waiting prompt is placed anew after its objective divided by this: that is one or two forward
+/// passes for long prompts, and each decision costs a small host some milliseconds.
+const PLACEMENT_DIVISOR: u32 = 30;
 
-/// How often a waiting request looks whether its target is silent.
-const LOOK_STEP: Duration = Duration::from_millis(50);
+/// Interval at which a waiting request checks whether its target is silent.
+const SILENCE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A caller's request, read whole.
+/// A caller's request, completely read and admitted.
 pub(crate) struct RelayJob {
     pub(crate) route: Rc<RouteRule>,
     pub(crate) service: Arc<str>,
-    /// Failure domains whose targets may run it, none for all.
+    /// Failure domains whose targets may run the request; `None` for all.
     pub(crate) domains: Option<Rc<DomainSet>>,
     pub(crate) account: Option<Arc<str>>,
     pub(crate) head: CallerHead,
@@ -60,30 +59,31 @@
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
     pub(crate) arrived: Tick,
-    /// When its time is up.
+    /// Time at which the request's time limit expires.
     pub(crate) deadline: Tick,
-    /// What its prompt asks of an engine, none for a plain call.
+    /// Resources that the prompt needs from an engine; `None` for a plain call.
     pub(crate) need: Option<PromptNeed>,
-    /// Which request it is, once that was asked for.
-    pub(crate) known_digest: OnceCell<RequestDigest>,
+    /// Digest of the request, computed on first use.
+    pub(crate) cached_digest: OnceCell<RequestDigest>,
 }
 
 impl RelayJob {
-    /// Which request it is, whatever its caller names this sending.
+    /// Returns the digest that identifies the request, independent of the attempt id.
     pub(crate) fn digest(&self) -> RequestDigest {
-        *self.known_digest.get_or_init(|| {
+        *self.cached_digest.get_or_init(|| {
             let path = self.uri.path_and_query().map_or("/", |path| path.as_str());
             RequestDigest::of(self.account.as_deref(), &self.route.host, path, &self.body)
         })
     }
 
-    /// Returns true where it is to be kept apart, since targets ended under it.
+    /// Returns `true` if targets have crashed under this request, so that it must run apart from
+    /// other such requests.
     pub(crate) fn is_suspect(&self, core: &RelayCore) -> bool {
         !core.quarantine().is_empty() && core.quarantine().is_suspect(&self.digest())
     }
 
-    /// Time for which it is held back, none where it may be sent.
-    pub(crate) fn held_for(&self, shared: &RelayShared) -> Option<Duration> {
+    /// Returns the time for which the request stays quarantined; `None` if it may be sent.
+    pub(crate) fn quarantine_time_left(&self, shared: &RelayShared) -> Option<Duration> {
         if shared.core.borrow().quarantine().is_empty() {
             return None;
         }
@@ -92,34 +92,35 @@
         core.quarantine().holds().held_for(&self.digest(), shared.now())
     }
 
-    /// The targets that may run it.
+    /// Returns the targets that may run the request.
     pub(crate) fn scope(&self) -> ServiceScope<'_> {
         ServiceScope { service: &self.service, domains: self.domains.as_deref() }
     }
 
-    /// Time until a target of its service takes requests, none where one does now.
+    /// Returns the time until a target of the service accepts requests; `None` if one does now.
     pub(crate) fn time_to_target(&self, shared: &RelayShared) -> Option<Duration> {
         shared.core.borrow().time_to_target(self.scope(), shared.now())
     }
 
-    /// Notes that a target answered it.
-    pub(crate) fn note_answered(&self, shared: &RelayShared) {
+    /// Reports to the quarantine that a target has answered this request.
+    pub(crate) fn report_answered(&self, shared: &RelayShared) {
         if !shared.core.borrow().quarantine().is_empty() {
             shared.core.borrow_mut().note_answered(self.digest());
         }
     }
 
-    /// Time that is left of its objective: what comes later is better left to others.
-    pub(crate) fn patience(&self, now: Tick) -> Duration {
+    /// Returns the time left until the objective or the deadline. Permits that come later are more
+    /// useful to other requests.
+    pub(crate) fn time_to_objective(&self, now: Tick) -> Duration {
         (self.arrived + self.route.objective).min(self.deadline).since(now)
     }
 
-    /// Time after which its prompt is placed anew, where it waits.
-    pub(crate) fn place_step(&self) -> Duration {
-        self.route.objective / PLACE_WAITS
+    /// Returns the interval at which a waiting prompt is placed anew.
+    pub(crate) fn placement_interval(&self) -> Duration {
+        self.route.objective / PLACEMENT_DIVISOR
     }
 
-    /// What its prompt asks of an engine at `now`.
+    /// Returns the resources that the prompt needs from an engine at `now`.
     pub(crate) fn need_at(&self, now: Tick) -> Option<PromptNeed> {
         let waited = now.since(self.arrived);
         let time_left = self.deadline.since(now);
@@ -127,64 +128,64 @@
     }
 }
 
-/// Why an attempt brought no answer.
+/// Reason why an attempt produced no answer.
 pub(crate) struct AttemptFault {
-    /// What it says of the target.
+    /// What the failure indicates about the target.
     pub(crate) fault: TargetFault,
     /// Whether the request may have run.
     pub(crate) verdict: Verdict,
-    /// In a few words.
-    pub(crate) why: String,
+    /// Short description of the failure.
+    pub(crate) reason: String,
     /// Whether anything was sent.
     pub(crate) is_sent: bool,
-    /// An answer of the target that the caller may get.
+    /// An error response of the target that may be forwarded to the caller.
     pub(crate) answer: Option<Box<Response<Bytes>>>,
-    /// The request's time is up.
+    /// Whether the time limit of the request has expired.
     pub(crate) is_timeout: bool,
-    /// A helper that is at fault, and not the target itself.
-    pub(crate) blamed: Option<SocketAddr>,
-    /// It was on a kept connection, which its target may have forgotten: it
-    /// says nothing of the target itself.
+    /// Address of another target, such as a helper, that caused the failure.
+    pub(crate) failed_address: Option<SocketAddr>,
+    /// Whether the failure indicates nothing about the target: the attempt used a pooled
+    /// connection, which the target may have closed, or was superseded before it was sent.
     pub(crate) is_stale: bool,
-    /// Time for which its events had come.
-    pub(crate) settled: Duration,
+    /// Time for which the attempt had been receiving events.
+    pub(crate) streamed_for: Duration,
 }
 
 impl AttemptFault {
-    fn new(fault: TargetFault, verdict: Verdict, why: impl Into<String>) -> Self {
+    fn new(fault: TargetFault, verdict: Verdict, reason: impl Into<String>) -> Self {
         AttemptFault {
             fault,
             verdict,
-            why: why.into(),
+            reason: reason.into(),
             is_sent: true,
             answer: None,
             is_timeout: false,
-            blamed: None,
+            failed_address: None,
             is_stale: false,
-            settled: Duration::ZERO,
+            streamed_for: Duration::ZERO,
         }
     }
 
-    fn not_sent(why: impl Into<String>) -> Self {
-        let fault = AttemptFault::new(TargetFault::Broken, Verdict::NotRun, why);
+    fn not_sent(reason: impl Into<String>) -> Self {
+        let fault = AttemptFault::new(TargetFault::Broken, Verdict::NotRun, reason);
         AttemptFault { is_sent: false, ..fault }
     }
 
-    /// What its targets said of themselves came before it was sent: that says nothing of how
-    /// they work.
-    fn overtaken() -> Self {
-        let why = "its targets have said since it was placed that they want it not now";
-        AttemptFault { is_stale: true, ..AttemptFault::not_sent(why) }
+    /// The target withdrew its acceptance between placement and sending. This indicates nothing
+    /// about how well the targets work.
+    fn superseded() -> Self {
+        let reason = "its targets have said since it was placed that they want it not now";
+        AttemptFault { is_stale: true, ..AttemptFault::not_sent(reason) }
     }
 
-    /// Returns true where its connection broke after it was sent, as it does when the
-    /// target ends.
-    pub(crate) fn is_break(&self) -> bool {
+    /// Returns `true` if the connection broke after the request was sent, as it does when the
+    /// target crashes.
+    pub(crate) fn is_disconnect(&self) -> bool {
         self.fault == TargetFault::Broken && self.is_sent && !self.is_timeout
     }
 
-    /// What it was for the count of sends.
-    pub(crate) fn to_end(&self) -> SendEnd {
+    /// Classifies the attempt for the count of sends.
+    pub(crate) fn to_send_end(&self) -> SendEnd {
         match self.verdict {
             _ if !self.is_sent => SendEnd::NotSent,
             _ if self.is_stale => SendEnd::Stale,
@@ -193,13 +194,13 @@
         }
     }
 
-    /// Address of the target, where this attempt says that nobody works there.
-    pub(crate) fn suspect(&self, shared: &RelayShared, target: &str) -> Option<SocketAddr> {
-        let is_of_host = matches!(
+    /// Returns the address of the target if this attempt indicates that no process works there.
+    pub(crate) fn suspect_address(&self, shared: &RelayShared, target: &str) -> Option<SocketAddr> {
+        let is_host_fault = matches!(
             self.fault,
             TargetFault::Unreachable | TargetFault::Broken | TargetFault::Silent
         );
-        let is_suspect = is_of_host && !self.is_stale && !self.is_timeout;
+        let is_suspect = is_host_fault && !self.is_stale && !self.is_timeout;
         is_suspect.then(|| shared.address_of(target)).flatten()
     }
 
@@ -208,32 +209,32 @@
         AttemptFault { is_timeout: true, ..fault }
     }
 
-    pub(crate) fn broken(why: impl Into<String>) -> Self {
-        AttemptFault::new(TargetFault::Broken, Verdict::MayHaveRun, why)
+    pub(crate) fn broken(reason: impl Into<String>) -> Self {
+        AttemptFault::new(TargetFault::Broken, Verdict::MayHaveRun, reason)
     }
 
-    pub(crate) fn garbled(why: impl Into<String>) -> Self {
-        AttemptFault::new(TargetFault::Garbled, Verdict::MayHaveRun, why)
+    pub(crate) fn garbled(reason: impl Into<String>) -> Self {
+        AttemptFault::new(TargetFault::Garbled, Verdict::MayHaveRun, reason)
     }
 
-    pub(crate) fn silent(why: impl Into<String>) -> Self {
-        AttemptFault::new(TargetFault::Silent, Verdict::MayHaveRun, why)
+    pub(crate) fn silent(reason: impl Into<String>) -> Self {
+        AttemptFault::new(TargetFault::Silent, Verdict::MayHaveRun, reason)
     }
 }
 
-/// What an attempt holds. All of it is given back when this is dropped, and
-/// the connection is closed unless it was kept.
+/// Resources of a running attempt. Dropping the guard releases all of them and closes the
+/// connection unless it was returned to the pool.
 pub(crate) struct AttemptGuard {
     shared: Rc<RelayShared>,
     pub(crate) share: AttemptShare,
     connection: Option<TargetConnection>,
-    /// Given back when it is dropped.
+    /// Released on drop.
     memory: Option<MemoryHold>,
 }
 
 impl AttemptGuard {
-    /// Keeps the connection: the whole answer has been read.
-    pub(crate) fn keep(&mut self, answer: &AnswerHead) {
+    /// Returns the connection to the pool after the complete answer was read.
+    pub(crate) fn return_connection(&mut self, answer: &AnswerHead) {
         let Some(connection) = self.connection.take() else { return };
         if !answer.is_last {
             let now = self.shared.now();
@@ -250,7 +251,7 @@
     }
 }
 
-/// The head of an answer, and what is to come.
+/// The head of an answer, and the body that is still to be read.
 pub(crate) struct OpenAnswer {
     pub(crate) guard: AttemptGuard,
     pub(crate) parts: Parts,
@@ -259,7 +260,7 @@
 }
 
 /// Sends a request to its target and waits for the head of the answer.
-pub(crate) async fn open(
+pub(crate) async fn start_attempt(
     shared: &Rc<RelayShared>,
     job: &RelayJob,
     placement: &Placement,
@@ -281,25 +282,25 @@
     shared.send_notes();
     shared.counts.borrow_mut().attempts += 1;
     let mut guard = AttemptGuard { shared: shared.clone(), share, connection: None, memory: None };
-    let mut helpers = to_seats(shared, placement)?;
+    let mut helpers = to_helpers(shared, placement)?;
     if !placement.seats.is_empty() {
         let hold = MemoryHold::reserve(shared, placement, &mut helpers).await;
         guard.memory = Some(hold.map_err(AttemptFault::not_sent)?);
     }
-    let connection = obtain(shared, job, &placement.target, address).await?;
+    let connection = acquire_connection(shared, job, &placement.target, address).await?;
     let is_reused = connection.is_reused;
     let share = &guard.share;
     if !shared.core.borrow().may_send(share, shared.now()) {
-        return Err(AttemptFault::overtaken());
+        return Err(AttemptFault::superseded());
     }
     let connection = guard.connection.insert(connection);
     let request = to_request(shared, job, placement, &helpers, resume_after);
     let sent_at = shared.now();
     let sending = connection.sender.send_request(request);
-    let waiting = wait_for_head(shared, job, placement, share, may_hedge);
+    let timeout = wait_for_timeout(shared, job, placement, share, may_hedge);
     let response = tokio::select! {
         response = sending => response,
-        fault = waiting => return Err(fault),
+        fault = timeout => return Err(fault),
     };
     let response = response.map_err(|error| {
         let fault = if error.is_canceled() {
@@ -312,14 +313,19 @@
     shared.core.borrow_mut().note_heard(&placement.target, shared.now());
     let (parts, body) = response.into_parts();
     let head = (shared.targets.parse_answer)(parts.status, &parts.headers);
-    // Where another life has the address, that one speaks of itself.
+    // If another instance uses the address, the notice is about that instance.
     if !head.is_replaced {
-        // What is not surely the target's answer to this request, and a failure, which may be
-        // made by less than all of it, say nothing by what they leave out.
-        let is_own = parts.status.is_success()
+        // A missing field in the notice counts only in a successful, signed answer to this request:
+        // other answers may not come from the target, and a failure may come from only a part of
+        // it.
+        let is_authentic = parts.status.is_success()
             && head.is_signed
             && head.attempt.as_deref() == job.head.attempt.as_deref();
-        shared.take_notice(guard.share.life.as_ref(), &head.notice, is_own.then_some(sent_at));
+        shared.take_notice(
+            guard.share.life.as_ref(),
+            &head.notice,
+            is_authentic.then_some(sent_at),
+        );
     }
     check_head(job, &parts, &head).map_err(|fault| {
         let is_stale = is_reused && fault.fault == TargetFault::Garbled;
@@ -328,10 +334,10 @@
     Ok(OpenAnswer { guard, parts, body, head })
 }
 
-/// A kept connection or a new one. What may not run twice always gets a new
-/// one: on a kept connection that its target forgets, nobody can tell whether
-/// the request was read.
-async fn obtain(
+/// Takes a connection from the pool or opens a new one. A request that must not run twice always
+/// gets a new one: if the target has closed a pooled connection, it is unknown whether the request
+/// was read.
+async fn acquire_connection(
     shared: &Rc<RelayShared>,
     job: &RelayJob,
     target: &Arc<str>,
@@ -349,14 +355,17 @@
     })
 }
 
-/// The helpers with their addresses, all of which have to be known.
-fn to_seats(shared: &RelayShared, placement: &Placement) -> Result<Vec<HelperSeat>, AttemptFault> {
-    let seats = placement.helpers.iter().map(|name| {
+/// Returns the helpers with their addresses; fails unless all addresses are known.
+fn to_helpers(
+    shared: &RelayShared,
+    placement: &Placement,
+) -> Result<Vec<HelperSeat>, AttemptFault> {
+    let helpers = placement.helpers.iter().map(|name| {
         let address = shared.address_of(name);
         address.map(|address| HelperSeat { address, reservation: None })
     });
-    let seats: Option<Vec<_>> = seats.collect();
-    seats.ok_or_else(|| AttemptFault::not_sent("a helper is gone"))
+    let helpers: Option<Vec<_>> = helpers.collect();
+    helpers.ok_or_else(|| AttemptFault::not_sent("a helper is gone"))
 }
 
 fn to_request(
@@ -382,9 +391,9 @@
     request
 }
 
-/// Ends with a fault when the request's time is up, or when its target seems
-/// not to work and another may be tried.
-async fn wait_for_head(
+/// Returns a fault when the time limit expires, or when the target seems not to work and another
+/// may be tried.
+async fn wait_for_timeout(
     shared: &RelayShared,
     job: &RelayJob,
     placement: &Placement,
@@ -392,12 +401,12 @@
     may_hedge: bool,
 ) -> AttemptFault {
     let sent_at = shared.now();
-    let hedge_at = sent_at + job.route.objective.mul_f64(HEDGE_PART);
-    let foretold = placement.first.mul_f64(FORETOLD_PART);
-    // A long prompt is dear to read again, and its caller waits longer.
-    let silence = SILENCE_LIMIT.max(job.route.objective);
+    let hedge_at = sent_at + job.route.objective.mul_f64(HEDGE_FRACTION);
+    let predicted = placement.first.mul_f64(PREDICTION_FACTOR);
+    // Prefilling a long prompt again is expensive, and its caller waits longer.
+    let silence = MIN_SILENCE_TIMEOUT.max(job.route.objective);
     loop {
-        tokio::time::sleep(LOOK_STEP.min(job.deadline.since(shared.now()))).await;
+        tokio::time::sleep(SILENCE_CHECK_INTERVAL.min(job.deadline.since(shared.now()))).await;
         let now = shared.now();
         if now >= job.deadline {
             return AttemptFault::timeout(Verdict::MayHaveRun);
@@ -408,30 +417,30 @@
         if job.need.is_none() && now >= hedge_at {
             return AttemptFault::silent("no answer within the objective");
         }
-        let is_due = now.since(sent_at) >= foretold + silence;
+        let is_due = now.since(sent_at) >= predicted + silence;
         let is_silent = || shared.silence_of(&placement.target) >= silence;
-        // What came later may be read before it: that is no fault of its target.
-        let is_in_line = || !shared.core.borrow_mut().time_to_read(share, now).is_zero();
-        if job.need.is_some() && is_due && is_silent() && !is_in_line() {
+        // The engine may prefill later prompts first, which is no fault of the target.
+        let is_queued = || !shared.core.borrow_mut().time_to_read(share, now).is_zero();
+        if job.need.is_some() && is_due && is_silent() && !is_queued() {
             return AttemptFault::silent("the target has sent nothing for too long");
         }
     }
 }
 
-/// Refuses what is not the answer to this request, and reads what the target
-/// says of it.
+/// Returns a fault for a refusal, and for an answer that belongs to another request, has a content
+/// encoding or lacks a signature.
 fn check_head(job: &RelayJob, parts: &Parts, head: &AnswerHead) -> Result<(), AttemptFault> {
     if head.attempt.as_deref() != job.head.attempt.as_deref() && !head.is_not_run {
         return Err(AttemptFault::garbled("answer to another request"));
     }
     if head.is_not_run {
         let fault = if head.is_replaced { TargetFault::Replaced } else { TargetFault::Full };
-        let why = match head.blamed {
+        let reason = match head.blamed {
             Some(address) => format!("refused with {} for {address}", parts.status.as_u16()),
             None => format!("the target refused with {}", parts.status.as_u16()),
         };
-        let fault = AttemptFault::new(fault, Verdict::NotRun, why);
-        return Err(AttemptFault { blamed: head.blamed, ..fault });
+        let fault = AttemptFault::new(fault, Verdict::NotRun, reason);
+        return Err(AttemptFault { failed_address: head.blamed, ..fault });
     }
     if head.is_encoded {
         return Err(AttemptFault::garbled("answer in a content encoding"));
--- a/src/relay/proxy/ledger.rs
+++ b/src/relay/proxy/ledger.rs
@@ -1,4 +1,4 @@
-//! What is logged and counted of a request when it ends.
+//! Log line and counters of a request, written when it ends.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -12,21 +12,21 @@
 use crate::time::Tick;
 use crate::verdict::Verdict;
 
-/// What is logged of a request when it ends, also where its caller leaves.
+/// Collects what is logged about a request. The line is also written if the caller leaves.
 pub(crate) struct RequestLedger {
     shared: Rc<RelayShared>,
     id: Arc<str>,
     arrived: Tick,
     targets: Vec<Arc<str>>,
     sends: usize,
-    /// Which request it is, where a send of it failed.
+    /// Digest of the request; set once an attempt has failed.
     pub(crate) digest: Option<RequestDigest>,
-    /// Why it was not sent again after a failure.
+    /// Reason why the request was not sent again after a failure.
     pub(crate) series_end: Option<SeriesEnd>,
     pub(crate) pace: StreamPace,
     is_ended: bool,
-    /// A planned stop waits for the end of the answer, not of its head.
-    _open: OpenRequest,
+    /// A planned stop waits until the whole answer is sent, rather than its head.
+    _open_request: OpenRequest,
 }
 
 impl RequestLedger {
@@ -41,19 +41,19 @@
             series_end: None,
             pace: StreamPace::default(),
             is_ended: false,
-            _open: OpenRequest::new(shared),
+            _open_request: OpenRequest::new(shared),
         }
     }
 
-    /// Notes a send to a target.
-    pub(crate) fn note_send(&mut self, target: &Arc<str>) {
+    /// Records that the request is sent to a target.
+    pub(crate) fn record_send(&mut self, target: &Arc<str>) {
         self.sends += 1;
         if !self.targets.contains(target) {
             self.targets.push(target.clone());
         }
     }
 
-    pub(crate) fn end(&mut self, end: RequestEnd, status: StatusCode, why: &str) {
+    pub(crate) fn end(&mut self, end: RequestEnd, status: StatusCode, message: &str) {
         self.is_ended = true;
         let shared = &self.shared;
         let now = shared.now();
@@ -63,7 +63,7 @@
             id: &self.id,
             end,
             status: status.as_u16(),
-            why,
+            why: message,
             targets: &self.targets.join(","),
             sends: self.sends,
             digest: self.digest,
@@ -76,11 +76,11 @@
         shared.log.request_ended(&line, now);
     }
 
-    pub(crate) fn end_fault(&mut self, fault: &RelayFault) {
+    pub(crate) fn end_with_fault(&mut self, fault: &RelayFault) {
         self.shared.counts.borrow().note_fault(fault.code);
         let is_refused = fault.verdict == Verdict::NotRun;
         let end = if is_refused { RequestEnd::Refused } else { RequestEnd::Failed };
-        self.end(end, fault.status, &fault.why);
+        self.end(end, fault.status, &fault.message);
     }
 }
 
--- a/src/relay/proxy/mod.rs
+++ b/src/relay/proxy/mod.rs
@@ -1,15 +1,15 @@
-//! A request's way through an entry.
+//! Handling of a request in an entry, from the caller to a target and back.
 //!
-//! `exchange` takes it, `call` or `stream` serves it, `series` decides
-//! whether there is another attempt, `permit` asks where its target takes few, `forward`
-//! sends one, `end_check` looks whether its target has ended, and `answer` is what the caller
-//! gets. How callers and targets are spoken to is in [`dialect`].
+//! `exchange` accepts the request; `call` or `stream` serves it. `series` decides whether another
+//! attempt is made, `permit` requests a permit if the target is rate-limited, and `forward` sends
+//! one attempt. `crash_check` probes whether a plain target has crashed, and `answer` builds the
+//! caller's response. [`dialect`] defines the adapters for the protocols of callers and targets.
 
 pub(crate) mod answer;
 pub(crate) mod call;
 pub(crate) mod connections;
+pub(crate) mod crash_check;
 pub mod dialect;
-pub(crate) mod end_check;
 pub mod event_stream;
 pub(crate) mod exchange;
 pub(crate) mod forward;
--- a/src/relay/proxy/permit.rs
+++ b/src/relay/proxy/permit.rs
@@ -1,5 +1,5 @@
-//! Asks agents for what all entries together have a bounded number of: turns at a target that
-//! takes few requests, and second attempts.
+//! Requests to agents for what is limited over all entries together: permits to send to
+//! rate-limited targets, and retries beyond an entry's own budget.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -16,24 +16,24 @@
 use crate::relay::peers::load_note::LoadNote;
 use crate::relay::shared::RelayShared;
 
-/// Longest time for an answer: some round trips between failure domains, and a slow host.
-const ASK_LIMIT: Duration = Duration::from_millis(80);
+/// Time-out of a reply: some round trips between failure domains, and a slow host.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(80);
 
-/// Waits for the turn of a request at its target, where that takes a bounded rate. Returns
-/// false where it is to be placed anew.
-pub(crate) async fn take_turn(
+/// Waits for a permit to send the request if its target is rate-limited. Returns `false` if the
+/// request must be placed anew.
+pub(crate) async fn acquire_permit(
     shared: &Rc<RelayShared>,
     job: &RelayJob,
     series: &AttemptSeries,
     placement: &mut Placement,
 ) -> bool {
     let now = shared.now();
-    let most_wait = series.most_wait(job, now);
-    let query = shared.core.borrow().permit_query(placement, most_wait, now);
+    let max_permit_wait = series.max_permit_wait(job, now);
+    let query = shared.core.borrow().permit_query(placement, max_permit_wait, now);
     let Some(query) = query else { return true };
-    let note = |nonce| LoadNote::AskPermit { nonce, ask: query.ask.clone() };
+    let message = |nonce| LoadNote::AskPermit { nonce, ask: query.ask.clone() };
     let reply = match query.beside {
-        Some(beside) => ask(shared, beside, note).await,
+        Some(address) => call_agent(shared, address, message).await,
         None => None,
     };
     shared.counts.borrow().note_permit(reply);
@@ -48,9 +48,9 @@
     }
 }
 
-/// Takes one more second attempt for a service: of the own share, or of what an agent gives
-/// beside it. Returns false where there is none.
-pub(crate) async fn take_second_attempt(shared: &RelayShared, service: &Arc<str>) -> bool {
+/// Takes one retry for a service from the entry's own budget or, if that is spent, from the shared
+/// retry budget. Returns `false` if neither grants one.
+pub(crate) async fn acquire_retry(shared: &RelayShared, service: &Arc<str>) -> bool {
     if shared.core.borrow_mut().take_retry(service, shared.now()) {
         return true;
     }
@@ -59,8 +59,8 @@
     };
     let mut reply = None;
     for query in queries {
-        let note = |nonce| LoadNote::AskSlack { nonce, ask: query.ask.clone() };
-        reply = ask(shared, query.beside, note).await;
+        let message = |nonce| LoadNote::AskSlack { nonce, ask: query.ask.clone() };
+        reply = call_agent(shared, query.beside, message).await;
         if reply.is_some() {
             break;
         }
@@ -68,29 +68,29 @@
     shared.core.borrow_mut().take_slack(service, reply, shared.now())
 }
 
-/// A question that waits for its answer. It is forgotten when this is dropped, as it is where
-/// its caller leaves.
-struct OpenAsk<'a> {
+/// A request to an agent that awaits its reply. Dropping it unregisters it, also if the caller
+/// leaves.
+struct PendingRequest<'a> {
     shared: &'a RelayShared,
     nonce: u64,
 }
 
-impl Drop for OpenAsk<'_> {
+impl Drop for PendingRequest<'_> {
     fn drop(&mut self) {
         self.shared.permit_asks.borrow_mut().remove(&self.nonce);
     }
 }
 
-/// Asks the agent beside a target, none where it does not answer in time.
-async fn ask(
+/// Sends a request to the agent beside a target; returns `None` if it does not reply in time.
+async fn call_agent(
     shared: &RelayShared,
-    beside: SocketAddr,
-    to_note: impl FnOnce(u64) -> LoadNote,
+    address: SocketAddr,
+    to_message: impl FnOnce(u64) -> LoadNote,
 ) -> Option<PermitReply> {
-    let open = OpenAsk { shared, nonce: rand::random() };
-    let (asker, answer) = oneshot::channel();
-    shared.permit_asks.borrow_mut().insert(open.nonce, asker);
-    shared.link.send_beside(beside, &to_note(open.nonce));
-    let answer = tokio::time::timeout(ASK_LIMIT, answer).await;
-    answer.ok()?.ok()
+    let pending = PendingRequest { shared, nonce: rand::random() };
+    let (reply_sender, reply_receiver) = oneshot::channel();
+    shared.permit_asks.borrow_mut().insert(pending.nonce, reply_sender);
+    shared.link.send_beside(address, &to_message(pending.nonce));
+    let reply = tokio::time::timeout(REPLY_TIMEOUT, reply_receiver).await;
+    reply.ok()?.ok()
 }
--- a/src/relay/proxy/series.rs
+++ b/src/relay/proxy/series.rs
@@ -1,4 +1,4 @@
-//! The attempts of one request: how many there may be, and where they go.
+//! The series of attempts for one request: how many are allowed, and which targets they go to.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -8,9 +8,9 @@
 use hyper::{Response, StatusCode};
 
 use super::answer::RelayFault;
-use super::end_check::check_end;
+use super::crash_check::check_crash;
 use super::forward::{AttemptFault, RelayJob};
-use super::permit::take_second_attempt;
+use super::permit::acquire_retry;
 use crate::relay::core::RelayCore;
 use crate::relay::decide::placement::{Placement, TargetScope};
 use crate::relay::decide::return_time::after_reopening;
@@ -21,86 +21,86 @@
 use crate::time::Tick;
 use crate::verdict::Verdict;
 
-/// Time to come back after a refusal for want of room.
-pub(crate) const NO_ROOM_RETRY: Duration = Duration::from_millis(150);
+/// Retry delay for callers after a refusal for lack of capacity.
+pub(crate) const NO_ROOM_RETRY_DELAY: Duration = Duration::from_millis(150);
 
-/// Wait before another target is tried after refusals.
-const REFUSED_WAIT: Duration = Duration::from_millis(30);
+/// Delay before another target is tried after refusals.
+const REFUSED_DELAY: Duration = Duration::from_millis(30);
 
-/// The answer to a request that is held back: it may come again when the hold lapses.
+/// Builds the answer to a quarantined request, which may be retried when the quarantine expires.
 #[cold]
-pub(crate) fn to_hold(span: Duration) -> RelayFault {
-    RelayFault::refused("held_back", "targets ended under this request", span)
+pub(crate) fn quarantine_fault(time_left: Duration) -> RelayFault {
+    RelayFault::refused("held_back", "targets ended under this request", time_left)
 }
 
-/// The answer where all targets of the service are leaving, or want no requests for a while:
-/// it may come again when one takes requests.
+/// Builds the answer if all targets of the service are leaving, back off or are rate-limited. The
+/// request may be retried when one of them accepts requests.
 #[cold]
-fn to_closed(wait: Duration) -> RelayFault {
-    let why = "all targets of the service are leaving, asked for a pause, or take few requests";
-    RelayFault::refused("targets_closed", why, after_reopening(wait, &mut rand::rng()))
+fn targets_closed_fault(wait: Duration) -> RelayFault {
+    let reason = "all targets of the service are leaving, asked for a pause, or take few requests";
+    RelayFault::refused("targets_closed", reason, after_reopening(wait, &mut rand::rng()))
 }
 
-/// Notes what a failed attempt says of its target's health. Returns true where the target is
-/// to be passed over by the request that met it.
-fn note_health(shared: &RelayShared, target: &Arc<str>, fault: &AttemptFault, now: Tick) -> bool {
+/// Records what a failed attempt indicates about the health of its target. Returns `true` if this
+/// request must not be sent to the target again.
+fn record_health(shared: &RelayShared, target: &Arc<str>, fault: &AttemptFault, now: Tick) -> bool {
     let mut core = shared.core.borrow_mut();
-    let is_of_helper =
-        fault.blamed.is_some_and(|address| core.note_helper_failure(target, address, now));
+    let is_helper_fault =
+        fault.failed_address.is_some_and(|address| core.note_helper_failure(target, address, now));
     drop(core);
-    if let Some(suspect) = fault.blamed.or_else(|| fault.suspect(shared, target)) {
+    if let Some(suspect) = fault.failed_address.or_else(|| fault.suspect_address(shared, target)) {
         shared.link.suspect(suspect);
     }
-    let is_of_target = !fault.is_stale && !is_of_helper;
+    let is_target_fault = !fault.is_stale && !is_helper_fault;
     if !fault.is_timeout
-        && is_of_target
-        && let Some(span) = shared.core.borrow_mut().note_failure(target, fault.fault, now)
+        && is_target_fault
+        && let Some(ejection) = shared.core.borrow_mut().note_failure(target, fault.fault, now)
     {
-        shared.log.ejected(target, span);
+        shared.log.ejected(target, ejection);
         shared.counts.borrow_mut().ejections += 1;
     }
-    is_of_target
+    is_target_fault
 }
 
-/// The attempts of one request.
+/// The attempts made for one request.
 pub(crate) struct AttemptSeries {
     tried: Vec<Arc<str>>,
-    /// Lives of targets that may have run it.
-    ran_at: Vec<TargetLife>,
-    /// The life that it was placed at last.
-    placed_at: Option<TargetLife>,
-    /// Whether the last attempt was refused, or could not be sent.
+    /// Instances of targets that may have run the request.
+    ran_on: Vec<TargetLife>,
+    /// Instance that the request was last placed at.
+    placed_on: Option<TargetLife>,
+    /// Whether the last attempt was refused or could not be sent.
     was_refused: bool,
-    /// Whether it was placed where it would wait for its turn.
-    waits_for_turn: bool,
+    /// Whether the request was placed at a target whose permit it has to wait for.
+    waits_for_permit: bool,
     sends: SendCount,
-    worst: Verdict,
+    worst_verdict: Verdict,
     pub(crate) answer: Option<Box<Response<Bytes>>>,
-    pub(crate) why: String,
+    pub(crate) reason: String,
 }
 
 impl AttemptSeries {
     pub(crate) fn new() -> Self {
         AttemptSeries {
             tried: Vec::new(),
-            ran_at: Vec::new(),
-            placed_at: None,
+            ran_on: Vec::new(),
+            placed_on: None,
             was_refused: false,
-            waits_for_turn: false,
+            waits_for_permit: false,
             sends: SendCount::default(),
-            worst: Verdict::NotRun,
+            worst_verdict: Verdict::NotRun,
             answer: None,
-            why: String::new(),
+            reason: String::new(),
         }
     }
 
-    /// Returns true where nothing was sent yet.
-    pub(crate) fn is_fresh(&self) -> bool {
+    /// Returns `true` if nothing has been sent yet.
+    pub(crate) fn is_unsent(&self) -> bool {
         self.tried.is_empty() && self.sends.is_empty()
     }
 
-    /// Returns true where another target could be tried after a silence of
-    /// this one. Without another, silence is no reason to end an answer.
+    /// Returns `true` if another target could be tried after this one has been silent. Without
+    /// another target, silence is no reason to abort an answer.
     pub(crate) fn may_hedge(
         &self,
         shared: &RelayShared,
@@ -127,9 +127,9 @@
         let now = shared.now();
         let placement = {
             let mut core = shared.core.borrow_mut();
-            let placement = self.place_in(&mut core, job, now);
-            let placement = placement.or_else(|| self.place_for_turn(&mut core, job, now))?;
-            self.placed_at = core.life_of(&placement.target);
+            let placement = self.place_now(&mut core, job, now);
+            let placement = placement.or_else(|| self.place_waiting(&mut core, job, now))?;
+            self.placed_on = core.life_of(&placement.target);
             placement
         };
         let line = PlacedLine {
@@ -148,18 +148,20 @@
         Some(placement)
     }
 
-    fn place_in(&self, core: &mut RelayCore, job: &RelayJob, now: Tick) -> Option<Placement> {
+    fn place_now(&self, core: &mut RelayCore, job: &RelayJob, now: Tick) -> Option<Placement> {
         let need = job.need_at(now);
-        if self.ran_at.len() >= job.route.max_targets {
-            // One that has ended since knows nothing of it, whoever is there now.
-            let alive = self.ran_at.iter().filter(|life| core.may_live(life));
-            let alive: Vec<_> = alive.map(|life| life.incarnation.clone()).collect();
+        if self.ran_on.len() >= job.route.max_targets {
+            // An instance that has crashed since has no state of the request, whatever now runs at
+            // its address.
+            let alive = self.ran_on.iter().filter(|instance| core.may_live(instance));
+            let alive: Vec<_> = alive.map(|instance| instance.incarnation.clone()).collect();
             return core.place(job.scope(), need.as_ref(), TargetScope::Only(&alive), now);
         }
         if job.is_suspect(core) {
-            // Two suspects at one target could not be told apart where it ends.
-            let apart: Vec<_> = self.tried.iter().cloned().chain(core.suspect_targets()).collect();
-            let scope = TargetScope::Untried(&apart);
+            // If two suspects ran at one target, its crash could not be attributed to either.
+            let excluded: Vec<_> =
+                self.tried.iter().cloned().chain(core.suspect_targets()).collect();
+            let scope = TargetScope::Untried(&excluded);
             if let Some(placement) = core.place(job.scope(), need.as_ref(), scope, now) {
                 return Some(placement);
             }
@@ -167,42 +169,56 @@
         core.place(job.scope(), need.as_ref(), TargetScope::Untried(&self.tried), now)
     }
 
-    /// Chooses a target where it waits for its turn, where there may be one in time: once, the
-    /// agent that gives the turns knows better.
-    fn place_for_turn(
+    /// Chooses a rate-limited target at which the request has to wait for a permit, if one may be
+    /// available in time. This is tried only once: the agent that issues the permits knows the
+    /// waiting time better.
+    fn place_waiting(
         &mut self,
         core: &mut RelayCore,
         job: &RelayJob,
         now: Tick,
     ) -> Option<Placement> {
         let wait = core.time_to_turn(job.scope(), now)?;
-        let is_bound = self.ran_at.len() >= job.route.max_targets;
-        if is_bound || self.waits_for_turn || wait.is_zero() || wait > job.patience(now) {
+        let is_limited = self.ran_on.len() >= job.route.max_targets;
+        if is_limited
+            || self.waits_for_permit
+            || wait.is_zero()
+            || wait > job.time_to_objective(now)
+        {
             return None;
         }
-        self.waits_for_turn = true;
+        self.waits_for_permit = true;
         let scope = TargetScope::Untried(&self.tried);
         core.place_for_turn(job.scope(), job.need_at(now).as_ref(), scope, now)
     }
 
-    /// Time for which a request would wait for its turn: nothing while others may take it.
-    pub(crate) fn most_wait(&self, job: &RelayJob, now: Tick) -> Duration {
-        if self.waits_for_turn { job.patience(now) } else { Duration::ZERO }
+    /// Returns the longest time that the request would wait for a permit: zero while targets
+    /// without a wait may take it.
+    pub(crate) fn max_permit_wait(&self, job: &RelayJob, now: Tick) -> Duration {
+        if self.waits_for_permit { job.time_to_objective(now) } else { Duration::ZERO }
     }
 
-    /// The answer where the request is held back, none where it may be sent.
-    pub(crate) fn hold_fault(&self, shared: &RelayShared, job: &RelayJob) -> Option<RelayFault> {
-        let span = job.held_for(shared)?;
-        let is_unsent = self.worst == Verdict::NotRun;
-        Some(if is_unsent { to_hold(span) } else { self.to_fault(shared, job, false) })
+    /// Returns the answer if the request is quarantined; `None` if it may be sent.
+    pub(crate) fn check_quarantine(
+        &self,
+        shared: &RelayShared,
+        job: &RelayJob,
+    ) -> Option<RelayFault> {
+        let time_left = job.quarantine_time_left(shared)?;
+        let has_not_run = self.worst_verdict == Verdict::NotRun;
+        Some(if has_not_run {
+            quarantine_fault(time_left)
+        } else {
+            self.final_fault(shared, job, false)
+        })
     }
 
-    /// Notes a failed attempt.
+    /// Records a failed attempt and takes a further send from the budgets.
     ///
     /// # Errors
     ///
-    /// No other attempt may be made, for the reason that is returned.
-    pub(crate) async fn note_fault(
+    /// No further attempt is allowed, for the returned reason.
+    pub(crate) async fn record_fault(
         &mut self,
         shared: &Rc<RelayShared>,
         job: &RelayJob,
@@ -214,26 +230,26 @@
             id: &job.id,
             digest: job.digest(),
             target,
-            why: &fault.why,
+            why: &fault.reason,
             verdict: fault.verdict,
         };
         shared.log.attempt_failed(&line, now);
         shared.counts.borrow_mut().failed_attempts += 1;
-        self.note_target_end(shared, job, &fault, now);
-        if note_health(shared, target, &fault, now) {
+        self.record_target_crash(shared, job, &fault, now);
+        if record_health(shared, target, &fault, now) {
             self.tried.push(target.clone());
         }
-        let end = fault.to_end();
-        self.worst = self.worst.join(fault.verdict);
-        self.why = fault.why;
+        let end = fault.to_send_end();
+        self.worst_verdict = self.worst_verdict.join(fault.verdict);
+        self.reason = fault.reason;
         self.answer = fault.answer.or(self.answer.take());
         self.sends.note(end);
         self.was_refused = matches!(end, SendEnd::NotSent | SendEnd::Refused);
-        if let Some(life) = self.placed_at.take()
+        if let Some(instance) = self.placed_on.take()
             && end == SendEnd::MayHaveRun
-            && !self.ran_at.contains(&life)
+            && !self.ran_on.contains(&instance)
         {
-            self.ran_at.push(life);
+            self.ran_on.push(instance);
         }
         if fault.is_timeout || now >= job.deadline {
             return Err(SeriesEnd::TimeUp);
@@ -241,76 +257,78 @@
         if !fault.verdict.may_retry(job.route.repeat.is_repeatable()) {
             return Err(SeriesEnd::RunsOnce);
         }
-        self.take_another(shared, job, fault.is_sent).await
+        self.acquire_send(shared, job, fault.is_sent).await
     }
 
-    /// Takes one more send from what the request and the service have left.
-    async fn take_another(
+    /// Takes one more send from the budgets of the request and of the service.
+    async fn acquire_send(
         &self,
         shared: &RelayShared,
         job: &RelayJob,
         is_sent: bool,
     ) -> Result<(), SeriesEnd> {
         let policy = shared.core.borrow().limits().policy;
-        // A failure of the target's own is an answer that the caller can have.
-        let repeated = if self.answer.is_none() { policy.repeated_runs } else { 0 };
-        let most_runs = job.route.max_targets + repeated;
-        if !self.sends.permits(most_runs) {
+        // A failure response of the target can be forwarded to the caller, so it earns no extra
+        // run.
+        let extra_runs = if self.answer.is_none() { policy.repeated_runs } else { 0 };
+        let allowed_runs = job.route.max_targets + extra_runs;
+        if !self.sends.permits(allowed_runs) {
             return Err(SeriesEnd::MostSends);
         }
-        if is_sent && !take_second_attempt(shared, &job.service).await {
+        if is_sent && !acquire_retry(shared, &job.service).await {
             return Err(SeriesEnd::NoBudget);
         }
         Ok(())
     }
 
-    /// Notes what a failed attempt says of its target's life, and of the request.
-    fn note_target_end(
+    /// Records what a failed attempt indicates about a crash of its target, and about the request.
+    fn record_target_crash(
         &self,
         shared: &Rc<RelayShared>,
         job: &RelayJob,
         fault: &AttemptFault,
         now: Tick,
     ) {
-        let Some(life) = &self.placed_at else { return };
-        if fault.is_break() {
-            shared.core.borrow_mut().note_broken(job.digest(), life, fault.settled, now);
-            check_end(shared, life);
+        let Some(instance) = &self.placed_on else { return };
+        if fault.is_disconnect() {
+            shared.core.borrow_mut().note_broken(job.digest(), instance, fault.streamed_for, now);
+            check_crash(shared, instance);
         }
         if fault.fault == TargetFault::Unreachable {
-            shared.core.borrow_mut().note_unreachable(life, now);
+            shared.core.borrow_mut().note_unreachable(instance, now);
         }
         shared.tell_suspects();
     }
 
-    /// The final failure of a request.
-    pub(crate) fn to_fault(
+    /// Builds the final failure of the request.
+    pub(crate) fn final_fault(
         &self,
         shared: &RelayShared,
         job: &RelayJob,
         is_timeout: bool,
     ) -> RelayFault {
-        if self.worst == Verdict::NotRun {
+        if self.worst_verdict == Verdict::NotRun {
             if let Some(wait) = job.time_to_target(shared) {
-                return to_closed(wait);
+                return targets_closed_fault(wait);
             }
-            let why = if self.why.is_empty() { "no target can take it now" } else { &self.why };
-            return RelayFault::refused("no_room", why, NO_ROOM_RETRY);
+            let reason =
+                if self.reason.is_empty() { "no target can take it now" } else { &self.reason };
+            return RelayFault::refused("no_room", reason, NO_ROOM_RETRY_DELAY);
         }
         let status = if is_timeout { StatusCode::GATEWAY_TIMEOUT } else { StatusCode::BAD_GATEWAY };
-        RelayFault::failed(status, "target_failed", self.why.clone())
+        RelayFault::failed(status, "target_failed", self.reason.clone())
     }
 
-    /// Waits a little after refusals: what is full now may have room soon.
-    pub(crate) async fn pause(&self, shared: &RelayShared, job: &RelayJob) {
-        // What can not be served is refused at once.
+    /// Waits briefly after refusals, since a full target may soon have capacity again.
+    pub(crate) async fn wait_after_refusal(&self, shared: &RelayShared, job: &RelayJob) {
+        // If no target accepts requests, the request is refused without delay.
         if job.time_to_target(shared).is_some() {
             return;
         }
-        // One that may go to those that ran it only has nowhere else to go.
-        let is_bound = self.ran_at.len() >= job.route.max_targets;
-        if self.was_refused && (is_bound || self.worst == Verdict::NotRun) {
-            tokio::time::sleep(REFUSED_WAIT).await;
+        // A request that is limited to the targets that may have run it has no alternative.
+        let is_limited = self.ran_on.len() >= job.route.max_targets;
+        if self.was_refused && (is_limited || self.worst_verdict == Verdict::NotRun) {
+            tokio::time::sleep(REFUSED_DELAY).await;
         }
     }
 }
--- a/src/relay/proxy/stream.rs
+++ b/src/relay/proxy/stream.rs
@@ -1,5 +1,5 @@
-//! Streams of events: each whole event is given as it comes, and a stream that
-//! breaks goes on at another target after the last of them.
+//! Streams of events. Each complete event is forwarded as it arrives. If the stream of a target
+//! breaks, another target continues it after the last forwarded event.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,11 +12,11 @@
 use tokio::sync::{mpsc, oneshot};
 
 use super::answer::{BrokenAnswer, RelayAnswer, RelayBody, RelayFault};
-use super::call::MAX_ANSWER;
+use super::call::MAX_ANSWER_BYTES;
 use super::event_stream::EventSplitter;
-use super::forward::{AttemptFault, OpenAnswer, RelayJob, open};
+use super::forward::{AttemptFault, OpenAnswer, RelayJob, start_attempt};
 use super::ledger::RequestLedger;
-use super::permit::take_turn;
+use super::permit::acquire_permit;
 use super::series::AttemptSeries;
 use crate::relay::core::AttemptShare;
 use crate::relay::decide::placement::{Placement, PlacementAction, PromptNeed};
@@ -28,56 +28,56 @@
 use crate::verdict::Verdict;
 use crate::web::read_body;
 
-/// Parts of an answer that wait for a slow caller.
-const QUEUED_PARTS: usize = 8;
+/// Maximum number of chunks that are queued for a slow caller.
+const MAX_QUEUED_CHUNKS: usize = 8;
 
-/// Silence within a stream after which it is continued elsewhere, in pauses
-/// that are just in time.
-const SILENT_PAUSES: u32 = 4;
+/// Silence within a stream after which another target continues it, in multiples of the longest
+/// pause that the route allows.
+const SILENCE_PAUSES: u32 = 4;
 
-/// Least such silence.
+/// Minimum of that silence.
 const MIN_SILENCE: Duration = Duration::from_millis(1_400);
 
-/// Least objective of requests that are left in a pass that lasts long: callers
-/// wait for an event for four objectives or two seconds, whichever is longer, so
-/// from here on they wait longer than a pass does.
-const PATIENT_OBJECTIVE: Duration = Duration::from_secs(1);
+/// Minimum objective for which a stream stays at its target during a long forward pass. Callers
+/// wait for an event for four objectives or two seconds, whichever is longer; from this objective
+/// on, they wait longer than a forward pass takes.
+const LONG_PASS_OBJECTIVE: Duration = Duration::from_secs(1);
 
-/// What a stream's task tells the one that answers the caller.
+/// First message of a stream's task to the function that answers the caller.
 enum StreamStart {
-    /// The head of the answer; its parts follow.
+    /// Head of a streamed answer; its chunks follow.
     Head(Response<()>),
-    /// A whole answer that is no stream.
-    Whole(Response<Bytes>),
+    /// A complete answer that is not a stream.
+    Buffered(Response<Bytes>),
     /// A failure.
     Fault(RelayFault),
 }
 
-/// The caller's side of a stream.
+/// Sending side of the caller's stream.
 struct StreamOutput {
     start: Option<oneshot::Sender<StreamStart>>,
-    parts: mpsc::Sender<Result<Bytes, BrokenAnswer>>,
+    chunks: mpsc::Sender<Result<Bytes, BrokenAnswer>>,
 }
 
 impl StreamOutput {
-    fn begin(&mut self, start: StreamStart) {
+    fn send_start(&mut self, start: StreamStart) {
         if let Some(sender) = self.start.take() {
-            // Where the caller has left, its task is being ended.
+            // If the caller has left, this task is being cancelled, so the error is ignored.
             drop(sender.send(start));
         }
     }
 
-    fn is_begun(&self) -> bool {
+    fn is_started(&self) -> bool {
         self.start.is_none()
     }
 }
 
-/// What has been given to the caller of a stream, over all attempts.
-struct StreamFeed<'a> {
+/// Progress of a stream over all attempts.
+struct StreamProgress<'a> {
     output: &'a mut StreamOutput,
     splitter: EventSplitter,
-    /// When the first event of the attempt under way came.
-    begun_at: Option<Tick>,
+    /// Arrival of the first event of the current attempt.
+    first_event_at: Option<Tick>,
 }
 
 /// Serves a stream of events.
@@ -86,29 +86,31 @@
     job: Rc<RelayJob>,
     mut ledger: RequestLedger,
 ) -> RelayAnswer {
-    let (start, started) = oneshot::channel();
-    let (parts, receiver) = mpsc::channel(QUEUED_PARTS);
-    let gone = parts.clone();
+    let (start, start_receiver) = oneshot::channel();
+    let (chunks, chunk_receiver) = mpsc::channel(MAX_QUEUED_CHUNKS);
+    let caller = chunks.clone();
     let task_shared = shared.clone();
     let id = job.id.clone();
     tokio::task::spawn_local(async move {
-        let mut output = StreamOutput { start: Some(start), parts };
+        let mut output = StreamOutput { start: Some(start), chunks };
         tokio::select! {
-            // The caller's going away ends all that is done for it.
-            () = gone.closed() => {}
+            // All work for a request is cancelled when its caller leaves.
+            () = caller.closed() => {}
             () = run_stream(&task_shared, &job, &mut output, &mut ledger) => {}
         }
     });
-    match started.await {
-        Ok(StreamStart::Head(head)) => head.map(|()| RelayBody::Parts(receiver)),
-        Ok(StreamStart::Whole(answer)) => answer.map(|body| RelayBody::Whole(Full::new(body))),
+    match start_receiver.await {
+        Ok(StreamStart::Head(head)) => head.map(|()| RelayBody::Streamed(chunk_receiver)),
+        Ok(StreamStart::Buffered(answer)) => {
+            answer.map(|body| RelayBody::Buffered(Full::new(body)))
+        }
         Ok(StreamStart::Fault(fault)) => fault.into_answer(&shared.callers, &id),
         Err(_) => RelayFault::failed(StatusCode::BAD_GATEWAY, "stream_lost", "the stream was lost")
             .into_answer(&shared.callers, &id),
     }
 }
 
-/// Makes attempts until the stream is whole or may not be tried again.
+/// Makes attempts until the stream is complete or no further attempt is allowed.
 async fn run_stream(
     shared: &Rc<RelayShared>,
     job: &RelayJob,
@@ -116,60 +118,62 @@
     ledger: &mut RequestLedger,
 ) {
     let mut series = AttemptSeries::new();
-    let mut feed = StreamFeed { output, splitter: EventSplitter::default(), begun_at: None };
+    let mut progress =
+        StreamProgress { output, splitter: EventSplitter::default(), first_event_at: None };
     let mut is_admitted = false;
     loop {
-        if let Some(fault) = series.hold_fault(shared, job) {
+        if let Some(fault) = series.check_quarantine(shared, job) {
             ledger.series_end = Some(SeriesEnd::HeldBack);
-            return fail_stream(feed.output, &series, fault, ledger).await;
+            return fail_stream(progress.output, &series, fault, ledger).await;
         }
         let Some(mut placement) = series.place(shared, job) else {
             ledger.series_end = Some(SeriesEnd::NoTarget);
-            let fault = series.to_fault(shared, job, false);
-            return fail_stream(feed.output, &series, fault, ledger).await;
+            let fault = series.final_fault(shared, job, false);
+            return fail_stream(progress.output, &series, fault, ledger).await;
         };
-        let decision = decide(shared, job, &placement, is_admitted).filter(|_| series.is_fresh());
+        let decision = decide(shared, job, &placement, is_admitted).filter(|_| series.is_unsent());
         match decision {
             None | Some((PlacementAction::Send, _)) => {}
             Some((PlacementAction::Wait, _)) => {
                 is_admitted = true;
-                tokio::time::sleep(job.place_step()).await;
+                tokio::time::sleep(job.placement_interval()).await;
                 continue;
             }
             Some((PlacementAction::Refuse, need)) => {
-                let why = "the engines are too busy to be in time";
-                let after = after_overload(&placement, &need, &mut rand::rng());
-                let fault = RelayFault::refused("overloaded", why, after);
-                ledger.end_fault(&fault);
-                return feed.output.begin(StreamStart::Fault(fault));
+                let message = "the engines are too busy to be in time";
+                let retry_after = after_overload(&placement, &need, &mut rand::rng());
+                let fault = RelayFault::refused("overloaded", message, retry_after);
+                ledger.end_with_fault(&fault);
+                return progress.output.send_start(StreamStart::Fault(fault));
             }
         }
-        if !take_turn(shared, job, &series, &mut placement).await {
+        if !acquire_permit(shared, job, &series, &mut placement).await {
             continue;
         }
-        ledger.note_send(&placement.target);
-        feed.splitter.clear_rest();
-        feed.begun_at = None;
+        ledger.record_send(&placement.target);
+        progress.splitter.clear_partial_event();
+        progress.first_event_at = None;
         let may_hedge = series.may_hedge(shared, job, &placement.target);
         let pace = &mut ledger.pace;
-        let result = stream_once(shared, job, &placement, &mut feed, pace, may_hedge).await;
+        let result = stream_once(shared, job, &placement, &mut progress, pace, may_hedge).await;
         match result {
             Ok(status) => return ledger.end(RequestEnd::Answered, status, ""),
             Err(fault) => {
                 let is_timeout = fault.is_timeout;
                 ledger.digest = Some(job.digest());
-                if let Err(end) = series.note_fault(shared, job, &placement.target, fault).await {
+                if let Err(end) = series.record_fault(shared, job, &placement.target, fault).await {
                     ledger.series_end = Some(end);
-                    let fault = series.to_fault(shared, job, is_timeout);
-                    return fail_stream(feed.output, &series, fault, ledger).await;
+                    let fault = series.final_fault(shared, job, is_timeout);
+                    return fail_stream(progress.output, &series, fault, ledger).await;
                 }
-                series.pause(shared, job).await;
+                series.wait_after_refusal(shared, job).await;
             }
         }
     }
 }
 
-/// What to do with a request that was not sent yet, and the need that decided it.
+/// Decides whether a request that was not sent yet is sent, waits or is refused, and returns the
+/// prompt need that the decision is based on.
 fn decide(
     shared: &RelayShared,
     job: &RelayJob,
@@ -178,7 +182,7 @@
 ) -> Option<(PlacementAction, PromptNeed)> {
     let need = PromptNeed { is_admitted, ..job.need_at(shared.now())? };
     let core = shared.core.borrow();
-    Some((placement.decide(&need, job.place_step(), &core.limits().policy), need))
+    Some((placement.decide(&need, job.placement_interval(), &core.limits().policy), need))
 }
 
 async fn fail_stream(
@@ -187,43 +191,44 @@
     fault: RelayFault,
     ledger: &mut RequestLedger,
 ) {
-    if output.is_begun() {
-        ledger.end(RequestEnd::Broken, StatusCode::OK, &series.why);
-        // Where the caller has left, there is nobody to tell.
-        drop(output.parts.send(Err(BrokenAnswer)).await);
+    if output.is_started() {
+        ledger.end(RequestEnd::Broken, StatusCode::OK, &series.reason);
+        // If the caller has left, the error cannot be delivered.
+        drop(output.chunks.send(Err(BrokenAnswer)).await);
         return;
     }
-    ledger.end_fault(&fault);
-    output.begin(StreamStart::Fault(fault));
+    ledger.end_with_fault(&fault);
+    output.send_start(StreamStart::Fault(fault));
 }
 
-/// One attempt at a stream: gives the caller each whole event.
+/// Makes one attempt and forwards each complete event to the caller.
 async fn stream_once(
     shared: &Rc<RelayShared>,
     job: &RelayJob,
     placement: &Placement,
-    feed: &mut StreamFeed<'_>,
+    progress: &mut StreamProgress<'_>,
     pace: &mut StreamPace,
     may_hedge: bool,
 ) -> Result<StatusCode, AttemptFault> {
-    let resume_after = feed.splitter.last_id().or(job.head.resume_after);
-    let answer = open(shared, job, placement, resume_after, may_hedge).await?;
+    let resume_after = progress.splitter.last_id().or(job.head.resume_after);
+    let answer = start_attempt(shared, job, placement, resume_after, may_hedge).await?;
     if !answer.parts.status.is_success() {
-        return take_failure(shared, job, answer.parts, answer.body, feed.output).await;
+        return handle_failure(shared, job, answer.parts, answer.body, progress.output).await;
     }
-    let result = pass_events(shared, job, answer, feed, pace, may_hedge).await;
+    let result = forward_events(shared, job, answer, progress, pace, may_hedge).await;
     result.map_err(|fault| {
-        let settled = feed.begun_at.map_or(Duration::ZERO, |at| shared.now().since(at));
-        AttemptFault { settled, ..fault }
+        let streamed_for =
+            progress.first_event_at.map_or(Duration::ZERO, |at| shared.now().since(at));
+        AttemptFault { streamed_for, ..fault }
     })
 }
 
-/// Gives the caller the events of an answer.
-async fn pass_events(
+/// Forwards the events of an answer to the caller.
+async fn forward_events(
     shared: &Rc<RelayShared>,
     job: &RelayJob,
     answer: OpenAnswer,
-    feed: &mut StreamFeed<'_>,
+    progress: &mut StreamProgress<'_>,
     pace: &mut StreamPace,
     may_hedge: bool,
 ) -> Result<StatusCode, AttemptFault> {
@@ -232,71 +237,71 @@
     (shared.targets.clear_answer)(&mut parts.headers);
     parts.headers.remove(CONTENT_LENGTH);
     let mut start = Some(Response::from_parts(parts, ()));
-    // The first event comes as soon as the prompt is read, the others at the
-    // end of a pass.
+    // The first event arrives when prefill is finished, each later one at the end of a forward
+    // pass.
     while let Some(frame) = next_frame(shared, job, &guard.share, &mut body, may_hedge).await? {
-        if feed.begun_at.is_some() {
+        if progress.first_event_at.is_some() {
             shared.core.borrow_mut().note_pass(&target, shared.now());
         } else {
             shared.core.borrow_mut().note_first(&guard.share, shared.now());
         }
-        feed.begun_at.get_or_insert(shared.now());
-        let events = feed.splitter.push(&frame);
+        progress.first_event_at.get_or_insert(shared.now());
+        let events = progress.splitter.push(&frame);
         let events = events.map_err(|_| AttemptFault::garbled("no stream of events"))?;
         let Some(events) = events else { continue };
         if let Some(start) = start.take()
-            && !feed.output.is_begun()
+            && !progress.output.is_started()
         {
-            feed.output.begin(StreamStart::Head(start));
+            progress.output.send_start(StreamStart::Head(start));
         }
         if pace.first.is_none() {
             let prompt = job.need.map_or(0, |need| need.prompt);
             shared.counts.borrow().note_first(prompt, shared.now().since(job.arrived));
         }
         pace.note(job.arrived, shared.now());
-        if feed.output.parts.send(Ok(events)).await.is_err() {
+        if progress.output.chunks.send(Ok(events)).await.is_err() {
             return Err(AttemptFault::broken("the caller left"));
         }
     }
-    if feed.splitter.has_rest() || (start.is_some() && !feed.output.is_begun()) {
+    if progress.splitter.has_partial_event() || (start.is_some() && !progress.output.is_started()) {
         return Err(AttemptFault::broken("the stream ended within an event"));
     }
-    guard.keep(&head);
-    job.note_answered(shared);
+    guard.return_connection(&head);
+    job.report_answered(shared);
     shared.core.borrow_mut().note_success(&target);
     Ok(status)
 }
 
-/// A target's own failure instead of a stream.
-async fn take_failure(
+/// Handles a failure response of the target.
+async fn handle_failure(
     shared: &Rc<RelayShared>,
     job: &RelayJob,
     mut parts: hyper::http::response::Parts,
     body: Incoming,
     output: &mut StreamOutput,
 ) -> Result<StatusCode, AttemptFault> {
-    let left = job.deadline.since(shared.now());
-    let whole = read_body(body, MAX_ANSWER, left).await;
-    let whole = whole.map_err(|_| AttemptFault::broken("the failure broke off"))?;
-    job.note_answered(shared);
+    let time_left = job.deadline.since(shared.now());
+    let complete_body = read_body(body, MAX_ANSWER_BYTES, time_left).await;
+    let complete_body = complete_body.map_err(|_| AttemptFault::broken("the failure broke off"))?;
+    job.report_answered(shared);
     (shared.targets.clear_answer)(&mut parts.headers);
     parts.headers.remove(CONTENT_LENGTH);
     let status = parts.status;
-    let answer = Response::from_parts(parts, whole);
+    let answer = Response::from_parts(parts, complete_body);
     if status.is_server_error() && job.route.repeat.is_repeatable() {
         let mut fault = AttemptFault::garbled(format!("the target answered {}", status.as_u16()));
         fault.fault = TargetFault::Error;
         fault.verdict = Verdict::Ran;
         return Err(fault);
     }
-    if output.is_begun() {
+    if output.is_started() {
         return Err(AttemptFault::garbled("the stream could not be continued"));
     }
-    output.begin(StreamStart::Whole(answer));
+    output.send_start(StreamStart::Buffered(answer));
     Ok(status)
 }
 
-/// The next bytes of a stream, none at its end.
+/// Returns the next bytes of a stream; `None` at its end.
 async fn next_frame(
     shared: &RelayShared,
     job: &RelayJob,
@@ -304,21 +309,22 @@
     body: &mut Incoming,
     may_hedge: bool,
 ) -> Result<Option<Bytes>, AttemptFault> {
-    let silence = (job.route.longest_pause * SILENT_PAUSES).max(MIN_SILENCE);
-    let mut silent_at = if may_hedge { shared.now() + silence } else { Tick::NEVER };
+    let silence = (job.route.longest_pause * SILENCE_PAUSES).max(MIN_SILENCE);
+    let mut silence_deadline = if may_hedge { shared.now() + silence } else { Tick::NEVER };
     loop {
-        let Some(frame) = shared.until(silent_at.min(job.deadline), body.frame()).await else {
+        let Some(frame) = shared.until(silence_deadline.min(job.deadline), body.frame()).await
+        else {
             let now = shared.now();
             if now >= job.deadline {
                 return Err(AttemptFault::timeout(Verdict::MayHaveRun));
             }
-            // A long pass is no fault of its target, but callers of short
-            // prompts do not wait for its end.
-            let pass = shared.core.borrow_mut().time_to_pass_end(&share.target, now);
-            if pass.is_zero() || job.route.objective < PATIENT_OBJECTIVE {
+            // A long forward pass is no fault of the target, but callers of short prompts do not
+            // wait for its end.
+            let pass_left = shared.core.borrow_mut().time_to_pass_end(&share.target, now);
+            if pass_left.is_zero() || job.route.objective < LONG_PASS_OBJECTIVE {
                 return Err(AttemptFault::silent("the stream stands still"));
             }
-            silent_at = now + pass;
+            silence_deadline = now + pass_left;
             continue;
         };
         let Some(frame) = frame else { return Ok(None) };
