--- a/src/relay/proxy/memory_hold.rs
+++ b/src/relay/proxy/memory_hold.rs
@@ -76,9 +76,9 @@
             // Recorded before the call: a call without an answer may have taken effect and must be
             // released.
             let instance = shared.core.borrow().life_of(&memory.target);
-            let held = HeldReservation { address: helper.address, instance, reservation };
-            hold.reservations.push(held.clone());
-            match send_reserve(shared, &held).await {
+            let reserved = HeldReservation { address: helper.address, instance, reservation };
+            hold.reservations.push(reserved.clone());
+            match send_reserve(shared, &reserved).await {
                 Ok(ReserveReply::Held) => {}
                 Ok(ReserveReply::Waiting | ReserveReply::Refused) => {
                     return Err(format!("no memory at {}", memory.target));
@@ -97,8 +97,8 @@
         if let Some(renewal_task) = self.renewal_task.take() {
             renewal_task.abort();
         }
-        for held in std::mem::take(&mut self.reservations) {
-            tokio::task::spawn_local(release(self.shared.clone(), held));
+        for reserved in std::mem::take(&mut self.reservations) {
+            tokio::task::spawn_local(release(self.shared.clone(), reserved));
         }
     }
 }
@@ -106,48 +106,49 @@
 async fn renew_all(shared: Rc<RelayShared>, reservations: Vec<HeldReservation>) {
     loop {
         tokio::time::sleep(RENEW_INTERVAL).await;
-        for held in &reservations {
-            let result = send_reserve(&shared, held).await;
+        for reserved in &reservations {
+            let result = send_reserve(&shared, reserved).await;
             if !matches!(result, Ok(ReserveReply::Held)) {
                 slog::warn!(shared.log.logger(), "reservation not renewed";
-                    "id" => &*held.reservation.id, "address" => %held.address,
+                    "id" => &*reserved.reservation.id, "address" => %reserved.address,
                     "reply" => ?result);
             }
         }
     }
 }
 
-async fn release(shared: Rc<RelayShared>, held: HeldReservation) {
+async fn release(shared: Rc<RelayShared>, reserved: HeldReservation) {
     for _ in 0..MAX_RELEASE_ATTEMPTS {
-        let call = (shared.targets.to_release)(&held.reservation.id);
-        match send_call(&shared, &held, call).await {
+        let call = (shared.targets.to_release)(&reserved.reservation.id);
+        match send_call(&shared, &reserved, call).await {
             Ok(_) => return,
             Err(error) => slog::warn!(shared.log.logger(), "reservation not released";
-                "id" => &*held.reservation.id, "address" => %held.address, "error" => %error),
+                "id" => &*reserved.reservation.id, "address" => %reserved.address,
+                "error" => %error),
         }
     }
 }
 
-async fn send_reserve(shared: &RelayShared, held: &HeldReservation) -> Result<ReserveReply> {
-    let call = (shared.targets.to_reserve)(&held.reservation);
-    send_call(shared, held, call).await.map(shared.targets.parse_reserve)
+async fn send_reserve(shared: &RelayShared, reserved: &HeldReservation) -> Result<ReserveReply> {
+    let call = (shared.targets.to_reserve)(&reserved.reservation);
+    send_call(shared, reserved, call).await.map(shared.targets.parse_reserve)
 }
 
 async fn send_call(
     shared: &RelayShared,
-    held: &HeldReservation,
+    reserved: &HeldReservation,
     call: TargetCall,
 ) -> Result<StatusCode> {
     let mut request = Request::new(full(call.body));
     *request.method_mut() = Method::POST;
-    let uri = format!("http://{}{}", held.address, call.path);
+    let uri = format!("http://{}{}", reserved.address, call.path);
     *request.uri_mut() = uri.parse().unwrap_or_default();
     request.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     let response = shared.orders.call(request, CALL_TIMEOUT).await?;
-    report_spent(shared, held);
+    report_spent(shared, reserved);
     let head = (shared.targets.parse_answer)(response.status(), response.headers());
     if !head.is_replaced {
-        shared.take_notice(held.instance.as_ref(), &head.notice, None);
+        shared.take_notice(reserved.instance.as_ref(), &head.notice, None);
     }
     Ok(response.status())
 }
@@ -155,10 +156,10 @@
 /// Reports a call that a rate-limited target received without a permit to the agent beside it,
 /// which counts it as well. The calls do not wait for permits, since memory that is already
 /// reserved has to be renewed and released.
-fn report_spent(shared: &RelayShared, held: &HeldReservation) {
-    let Some(instance) = &held.instance else { return };
+fn report_spent(shared: &RelayShared, reserved: &HeldReservation) {
+    let Some(instance) = &reserved.instance else { return };
     let has_rate_limit = |target: &TargetState| target.rate.is_some();
     if shared.core.borrow().targets.get(&instance.incarnation).is_some_and(has_rate_limit) {
-        shared.link.send_beside(held.address, &LoadNote::Spent(instance.clone()));
+        shared.link.send_beside(reserved.address, &LoadNote::Spent(instance.clone()));
     }
 }
