--- a/src/relay/decide/engine_subset.rs
+++ b/src/relay/decide/engine_subset.rs
@@ -1,14 +1,13 @@
-//! Which engines of a large fleet an entry uses.
+//! Chooses the engines of a large fleet that an entry uses.
 //!
-//! The load that it answers: bursts over hundreds of engines, during which each
-//! entry was told of every placement of every other one and weighed each prompt at
-//! all engines. Hosts of a tenth of a core spent most of their time on that, and
-//! answers stood still. A bounded subset bounds both, whatever the fleet's size:
-//! a prompt is weighed at no more engines than that, and an engine's agent tells
-//! no more entries than are its share.
+//! Without a bound, in bursts over hundreds of engines, each entry receives every placement of
+//! every other entry and evaluates each prompt on all engines. Hosts with a tenth of a core
+//! spent most of their time on that, and answers stalled. A subset of bounded size limits both,
+//! whatever the size of the fleet: a prompt is evaluated on the engines of the subset only, and
+//! the agent of an engine reports only to the entries that use the engine.
 //!
-//! The subset goes by rendezvous hash, so that entries use different engines, an
-//! engine that comes or goes changes one member, and nobody has to be asked.
+//! The subset is chosen by rendezvous hashing. Entries use different engines, an engine that is
+//! added or removed changes one member, and no coordination is needed.
 
 use std::cmp::Reverse;
 use std::sync::Arc;
@@ -16,24 +15,24 @@
 use super::targets::{TargetSet, TargetState};
 use crate::time::Tick;
 
-/// Part of the subset that is taken from the entry's own failure domain, as its
-/// divisor. The rest is from all others, so that a burst in one domain, or the
-/// loss of its engines, is borne by the whole fleet.
+/// Divisor that gives the part of the subset taken from the entry's own failure domain. The
+/// rest comes from all other domains, so that the whole fleet absorbs a burst in one domain or
+/// the loss of its engines.
 const NEAR_DIVISOR: usize = 2;
 
-/// What a subset depends on beside the targets.
+/// Inputs of the choice besides the targets.
 #[derive(Clone, Copy, Debug)]
 pub struct SubsetQuery<'a> {
     /// Incarnation of the entry.
     pub entry: u64,
-    /// Its failure domain.
+    /// Failure domain of the entry.
     pub failure_domain: &'a str,
-    /// Most engines of a service, zero for all.
+    /// Maximum number of engines of a service; zero for all.
     pub most: usize,
 }
 
-/// Marks the engines of each service that an entry uses. Those that are left alone
-/// after failures give their place to others meanwhile.
+/// Marks the engines of each service that an entry uses. Ejected engines are replaced by others
+/// while they are ejected.
 pub fn mark_used(set: &mut TargetSet, services: &[Arc<str>], query: SubsetQuery<'_>, now: Tick) {
     for service in services {
         let names = choose(set, service, query, now);
@@ -46,8 +45,7 @@
     }
 }
 
-/// Names of the engines of a service that an entry uses, in order; none where it
-/// uses all of them.
+/// Sorted names of the engines of a service that an entry uses; `None` if it uses all.
 fn choose(
     set: &TargetSet,
     service: &str,
@@ -55,7 +53,7 @@
     now: Tick,
 ) -> Option<Vec<Arc<str>>> {
     let mut engines: Vec<_> =
-        // One that is closed for a moment keeps its place.
+        // An engine that is only waiting for a permit stays in the subset.
         set.of_service(service)
             .filter(|target| target.is_willing(now) && !target.is_ejected(now))
             .collect();
@@ -69,9 +67,9 @@
     engines.sort_by_cached_key(|target| Reverse(rank(target)));
     let is_near = |target: &TargetState| *target.record.failure_domain == *query.failure_domain;
     let (near, far): (Vec<_>, Vec<_>) = engines.into_iter().partition(|target| is_near(target));
-    let first = near.len().min(query.most / NEAR_DIVISOR);
-    let rest = near[first..].iter();
-    let all = near[..first].iter().chain(&far).chain(rest).take(query.most);
+    let near_count = near.len().min(query.most / NEAR_DIVISOR);
+    let rest = near[near_count..].iter();
+    let all = near[..near_count].iter().chain(&far).chain(rest).take(query.most);
     let mut names: Vec<_> = all.map(|target| target.record.incarnation.clone()).collect();
     names.sort_unstable();
     Some(names)
--- a/src/relay/decide/pass_model.rs
+++ b/src/relay/decide/pass_model.rs
@@ -1,90 +1,90 @@
-//! Model of the passes of one engine, from what was sent to it.
+//! Model of the scheduling passes of one engine, built from the requests sent to it.
 //!
-//! Measured on engines with one request after the other (`docs/design/platform.md`):
+//! Behaviour of the engines, measured with one request after the other
+//! (`docs/design/platform.md`):
 //!
-//! - While nobody writes, an engine reads one piece after the other and looks
-//!   anew for each at what is first in line.
-//! - While somebody writes, a pass reads a bounded number of tokens from the
-//!   front of the line, and all that is written or read in it is there at its
-//!   end.
-//! - A part of a jointly read prompt goes to the front of the line, also before
-//!   other parts. Whole prompts wait in order.
+//! - Without decoding streams, an engine prefills one chunk after the other and picks the head
+//!   of its prefill queue again for each chunk.
+//! - With decoding streams, a pass prefills a bounded number of tokens from the head of the
+//!   queue. Everything that is decoded or prefilled in the pass is delivered at its end.
+//! - A shard of a sharded prefill goes to the head of the queue, also before earlier shards.
+//!   Whole prompts are queued in order of arrival.
 //!
-//! The model follows this from what this and other entries sent, and is set
-//! right by the events that arrive. What would become of one more prompt is
-//! worked out in [`super::pass_outlook`].
+//! The model simulates this from the requests that this and other entries send, and is
+//! corrected by the events that arrive. [`super::engine_snapshot`] predicts the effect of one
+//! more prompt.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
 
 use super::engine_rates::{EngineRates, from_ms};
-use super::pass_outlook::{OutlookWriter, PassForecast, PassOutlook};
-use super::pending_read::{PendingRead, put_back, put_in_line};
+use super::engine_snapshot::{EngineSnapshot, PassForecast, SimulatedStream};
+use super::pending_prefill::{PendingPrefill, enqueue, reinsert};
 use super::policy::RelayPolicy;
 use super::stream_load::{StreamKey, StreamLoad};
 use crate::time::Tick;
 
-/// Events that arrive closer together than this belong to one pass.
-const SAME_PASS: Duration = Duration::from_millis(15);
+/// Events that arrive within this time of the start of a pass belong to the pass before.
+const SAME_PASS_WINDOW: Duration = Duration::from_millis(15);
 
-/// Passes that a stream may last longer than foretold before it is forgotten.
-/// Its end is usually announced; this is for announcements that were lost.
+/// Passes that a stream may last longer than predicted before it is dropped. The end of a
+/// stream is usually announced; this covers announcements that were lost.
 const OVERRUN_PASSES: u32 = 40;
 
-/// Bounds of a reported pace, one being the declared rates.
+/// Bounds of a reported pace; 1 stands for the declared rates.
 const PACE_BOUNDS: (f64, f64) = (0.7, 12.0);
 
-/// Part of its foretold time in which a read is over at the soonest: the same bound as
-/// that of a reported pace, which is some hundred milliseconds old.
-const FASTEST_READ: f64 = PACE_BOUNDS.0;
+/// Smallest fraction of its predicted time that a prefill takes. This is the lower bound of a
+/// reported pace, since a reported pace is some hundred milliseconds old.
+const MIN_PREFILL_FRACTION: f64 = PACE_BOUNDS.0;
 
-/// A stream that writes.
+/// A stream that the engine decodes.
 #[derive(Clone, Copy, Debug)]
-struct Writer {
+struct DecodingStream {
     load: StreamLoad,
     passes: u32,
 }
 
-/// A pass that is under way.
+/// The pass in progress.
 #[derive(Debug)]
 struct OpenPass {
     start: Tick,
     end: Tick,
-    /// What will have been read at its end.
-    reads: Vec<PendingRead>,
-    /// What was in line at its start.
-    line: Vec<PendingRead>,
+    /// Prefills that are finished at the end of the pass.
+    prefills: Vec<PendingPrefill>,
+    /// The prefill queue at the start of the pass.
+    queue: Vec<PendingPrefill>,
 }
 
 /// Model of one engine.
 #[derive(Debug)]
 pub struct PassModel {
     rates: Rc<EngineRates>,
-    /// The entry that sees the events of its own streams.
+    /// Incarnation of this entry. It sees the events of its own streams only.
     observer: u64,
-    line: Vec<PendingRead>,
-    writers: BTreeMap<StreamKey, Writer>,
-    /// None while nobody writes.
+    queue: Vec<PendingPrefill>,
+    streams: BTreeMap<StreamKey, DecodingStream>,
+    /// The pass in progress; `None` without decoding streams.
     pass: Option<OpenPass>,
-    /// Up to when the line was followed.
-    played_to: Tick,
+    /// Time up to which the queue is simulated.
+    simulated_to: Tick,
     pace: f64,
-    /// How long a pass may last longer than foretold where its end would be seen.
+    /// How much later than predicted a pass may end if this entry would see its end.
     grace: Duration,
 }
 
 impl PassModel {
-    /// Model of an engine that does nothing.
+    /// Creates the model of an idle engine.
     #[must_use]
     pub fn new(rates: Rc<EngineRates>, observer: u64) -> Self {
         PassModel {
             rates,
             observer,
-            line: Vec::new(),
-            writers: BTreeMap::new(),
+            queue: Vec::new(),
+            streams: BTreeMap::new(),
             pass: None,
-            played_to: Tick::default(),
+            simulated_to: Tick::default(),
             pace: 1.0,
             grace: Duration::from_millis(RelayPolicy::DEFAULT.pass_grace_ms),
         }
@@ -96,54 +96,55 @@
         &self.rates
     }
 
-    /// Takes changed rates.
+    /// Replaces the declared rates.
     pub fn set_rates(&mut self, rates: &Rc<EngineRates>) {
         self.rates = rates.clone();
     }
 
-    /// Sets how long the end of a pass may be late by what is not known here.
+    /// Sets how much later than predicted a pass may end because of work that is not known
+    /// here.
     pub fn set_grace(&mut self, grace: Duration) {
         self.grace = grace;
     }
 
-    /// How much slower than declared the engine is.
+    /// Ratio of the engine's actual time to the declared one.
     #[must_use]
     pub fn pace(&self) -> f64 {
         self.pace
     }
 
-    /// Takes the pace that the engine itself reports.
+    /// Sets the pace that the engine itself reports.
     pub fn set_pace(&mut self, pace: f64) {
         self.pace = pace.clamp(PACE_BOUNDS.0, PACE_BOUNDS.1);
     }
 
-    /// Streams that are known there.
+    /// Number of known streams on the engine.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.reads().count() + self.writers.len()
+        self.prefills().count() + self.streams.len()
     }
 
-    /// Returns true where no stream is known.
+    /// Returns `true` if no stream is known.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// The streams that are known there, and what they cost.
+    /// The known streams and their load.
     pub fn loads(&self) -> impl Iterator<Item = (StreamKey, StreamLoad)> {
-        let writers = self.writers.iter().map(|(key, writer)| (*key, writer.load));
-        self.reads().map(|read| (read.key, read.load)).chain(writers)
+        let streams = self.streams.iter().map(|(key, stream)| (*key, stream.load));
+        self.prefills().map(|prefill| (prefill.key, prefill.load)).chain(streams)
     }
 
-    fn reads(&self) -> impl Iterator<Item = &PendingRead> {
-        self.line.iter().chain(self.pass.iter().flat_map(|pass| &pass.reads))
+    fn prefills(&self) -> impl Iterator<Item = &PendingPrefill> {
+        self.queue.iter().chain(self.pass.iter().flat_map(|pass| &pass.prefills))
     }
 
-    /// Adds a stream that was sent now.
+    /// Adds a stream that is sent at `now`.
     pub fn add(&mut self, key: StreamKey, load: StreamLoad, now: Tick) {
         self.advance(now);
         self.remove(key);
-        put_in_line(&mut self.line, PendingRead::new(key, load, now));
+        enqueue(&mut self.queue, PendingPrefill::new(key, load, now));
     }
 
     /// Removes a stream that has ended.
@@ -157,15 +158,15 @@
     }
 
     fn retain(&mut self, is_kept: impl Fn(StreamKey) -> bool) {
-        self.line.retain(|read| is_kept(read.key));
-        self.writers.retain(|key, _| is_kept(*key));
+        self.queue.retain(|prefill| is_kept(prefill.key));
+        self.streams.retain(|key, _| is_kept(*key));
         if let Some(pass) = &mut self.pass {
-            pass.reads.retain(|read| is_kept(read.key));
+            pass.prefills.retain(|prefill| is_kept(prefill.key));
         }
     }
 
-    /// Plays the passes up to `now`. A pass whose end is due is not over while
-    /// events that would come with it are missing: it reads more than is known.
+    /// Simulates the passes up to `now`. A pass that is due is not over while the events that
+    /// would come with its end are missing: the engine then prefills more than is known here.
     pub fn advance(&mut self, now: Tick) {
         loop {
             if let Some(pass) = &self.pass {
@@ -174,184 +175,188 @@
                     return;
                 }
                 self.end_pass(end);
-            } else if !self.writers.is_empty() {
-                self.start_pass(self.played_to);
-            } else if !self.read_first(now) {
+            } else if !self.streams.is_empty() {
+                self.start_pass(self.simulated_to);
+            } else if !self.prefill_next(now) {
                 return;
             }
         }
     }
 
-    /// Reads what is first in line, where nobody writes. Returns true where it
-    /// was read whole before `now`.
-    fn read_first(&mut self, now: Tick) -> bool {
-        let Some(first) = self.line.first_mut() else {
-            self.played_to = self.played_to.max(now);
+    /// Prefills the head of the queue while no stream decodes. Returns `true` if it is finished
+    /// before `now`.
+    fn prefill_next(&mut self, now: Tick) -> bool {
+        let Some(first) = self.queue.first_mut() else {
+            self.simulated_to = self.simulated_to.max(now);
             return false;
         };
-        let end = self.played_to + from_ms(first.solo_ms(&self.rates) * self.pace);
+        let end = self.simulated_to + from_ms(first.solo_ms(&self.rates) * self.pace);
         if end > now {
-            let spent = now.since(self.played_to).as_secs_f64() * 1e3;
-            first.spend_solo(spent / self.pace, &self.rates);
-            self.played_to = self.played_to.max(now);
+            let spent = now.since(self.simulated_to).as_secs_f64() * 1e3;
+            first.run_solo(spent / self.pace, &self.rates);
+            self.simulated_to = self.simulated_to.max(now);
             return false;
         }
-        let read = self.line.remove(0);
-        self.played_to = end;
-        self.add_writer(&read);
+        let prefill = self.queue.remove(0);
+        self.simulated_to = end;
+        self.add_stream(&prefill);
         true
     }
 
-    fn add_writer(&mut self, read: &PendingRead) {
-        if read.load.is_writer() {
-            self.writers.insert(read.key, Writer { load: read.load, passes: 0 });
+    fn add_stream(&mut self, prefill: &PendingPrefill) {
+        if prefill.load.is_writer() {
+            self.streams.insert(prefill.key, DecodingStream { load: prefill.load, passes: 0 });
         }
     }
 
     fn start_pass(&mut self, at: Tick) {
-        let before = self.line.clone();
+        let before = self.queue.clone();
         let mut budget = self.rates.pass_tokens();
-        let mut reading = 0.0;
-        for read in &mut self.line {
-            let (tokens, time) = read.take(budget, &self.rates);
+        let mut prefill_ms = 0.0;
+        for prefill in &mut self.queue {
+            let (tokens, time_ms) = prefill.prefill(budget, &self.rates);
             budget -= tokens;
-            reading += time;
+            prefill_ms += time_ms;
         }
-        let (read, line) = self.line.iter().partition(|read| read.is_read());
-        self.line = line;
-        let length = reading + self.rates.write_ms(self.writers.len(), self.context());
+        let (done, queue) = self.queue.iter().partition(|prefill| prefill.is_done());
+        self.queue = queue;
+        let length = prefill_ms + self.rates.write_ms(self.streams.len(), self.context());
         let end = at + from_ms(length * self.pace);
-        self.pass = Some(OpenPass { start: at, end, reads: read, line: before });
+        self.pass = Some(OpenPass { start: at, end, prefills: done, queue: before });
     }
 
     fn end_pass(&mut self, at: Tick) {
         let Some(pass) = self.pass.take() else { return };
-        self.played_to = at;
+        self.simulated_to = at;
         let spent = at.since(pass.start);
-        for writer in self.writers.values_mut() {
-            writer.passes += 1;
-            // A writer whose pause was too long is late: it has nothing more
-            // to lose.
-            if spent.as_micros() as u64 > writer.load.pause_us {
-                writer.load.value = 0.0;
+        for stream in self.streams.values_mut() {
+            stream.passes += 1;
+            // A stream whose pause exceeded its limit is late and has nothing more to lose.
+            if spent.as_micros() as u64 > stream.load.pause_us {
+                stream.load.value = 0.0;
             }
         }
-        self.writers.retain(|_, writer| writer.passes <= writer.load.passes + OVERRUN_PASSES);
-        for read in pass.reads {
-            self.add_writer(&read);
+        self.streams.retain(|_, stream| stream.passes <= stream.load.passes + OVERRUN_PASSES);
+        for prefill in pass.prefills {
+            self.add_stream(&prefill);
         }
     }
 
     fn context(&self) -> u64 {
-        self.writers.values().map(|writer| writer.load.context).sum()
+        self.streams.values().map(|stream| stream.load.context).sum()
     }
 
-    /// How long the end of a pass may be late by what is not known here.
+    /// How much later than predicted the pass in progress may end. A grace applies only if this
+    /// entry would see the end of the pass.
     fn grace(&self) -> Duration {
-        let is_seen = self.writers.keys().any(|key| key.entry == self.observer);
+        let is_seen = self.streams.keys().any(|key| key.entry == self.observer);
         if is_seen { self.grace } else { Duration::ZERO }
     }
 
-    /// Notes the first event of a stream at `at`: its prompt has been read.
+    /// Records the first event of a stream at `at`, which shows that its prompt is prefilled.
     pub fn note_first(&mut self, key: StreamKey, at: Tick) {
         self.advance(at);
-        let Some(place) = self.line.iter().position(|read| read.key == key) else { return };
-        let read = self.line.remove(place);
+        let Some(index) = self.queue.iter().position(|prefill| prefill.key == key) else { return };
+        let prefill = self.queue.remove(index);
         match &mut self.pass {
-            Some(pass) => pass.reads.push(read),
-            None => self.add_writer(&read),
+            Some(pass) => pass.prefills.push(prefill),
+            None => self.add_stream(&prefill),
         }
     }
 
-    /// Notes that events of the engine arrived, which it sent at `at`: a pass
-    /// has ended.
+    /// Records the arrival of events that the engine sent at `at`, which shows that a pass has
+    /// ended.
     pub fn note_pass(&mut self, at: Tick) {
         self.advance(at);
         let Some(pass) = &self.pass else { return };
-        if at.since(pass.start) < SAME_PASS {
+        if at.since(pass.start) < SAME_PASS_WINDOW {
             return;
         }
-        self.put_back_unread(at);
+        self.requeue_unfinished(at);
         self.end_pass(at);
-        if !self.writers.is_empty() {
+        if !self.streams.is_empty() {
             self.start_pass(at);
         }
     }
 
-    /// Puts back what can not have been read in the pass that ends at `at`: it came
-    /// after the engine had begun that pass. Without this the part of a prompt of 850,000
-    /// tokens counted as read after 50 ms (logged), and short prompts were sent to an engine
-    /// that read for another 1.5 s and more.
-    fn put_back_unread(&mut self, at: Tick) {
-        // When a pass began that nobody here saw is known to a pass of writing.
-        let doubt_ms = self.rates.write_ms(self.writers.len(), self.context()) * self.pace;
+    /// Requeues prefills that can not have finished in the pass that ends at `at`, since they
+    /// arrived after the engine had started that pass. Without this, the shard of a prompt of
+    /// 850,000 tokens counted as prefilled after 50 ms, and short prompts were sent to an
+    /// engine that prefilled for another 1.5 s and more.
+    fn requeue_unfinished(&mut self, at: Tick) {
+        // The start of a pass that this entry did not see is known to within one decode pass.
+        let uncertainty_ms = self.rates.write_ms(self.streams.len(), self.context()) * self.pace;
         let Some(pass) = &mut self.pass else { return };
-        let most_ms = at.since(pass.start).as_secs_f64() * 1e3 + doubt_ms;
-        let least = self.pace * FASTEST_READ;
-        for before in std::mem::take(&mut pass.line) {
-            let left = |reads: &[PendingRead]| {
-                let found = reads.iter().find(|read| read.key == before.key);
-                found.map(|read| read.read_ms(&self.rates))
+        let max_ms = at.since(pass.start).as_secs_f64() * 1e3 + uncertainty_ms;
+        let min_fraction = self.pace * MIN_PREFILL_FRACTION;
+        for before in std::mem::take(&mut pass.queue) {
+            let left = |prefills: &[PendingPrefill]| {
+                let found = prefills.iter().find(|prefill| prefill.key == before.key);
+                found.map(|prefill| prefill.remaining_ms(&self.rates))
             };
-            let in_pass = left(&pass.reads);
-            let Some(after_ms) = in_pass.or_else(|| left(&self.line)) else { continue };
-            let reading_ms = before.read_ms(&self.rates) - after_ms;
-            if reading_ms * least <= most_ms {
+            let in_pass = left(&pass.prefills);
+            let Some(after_ms) = in_pass.or_else(|| left(&self.queue)) else { continue };
+            let prefill_ms = before.remaining_ms(&self.rates) - after_ms;
+            if prefill_ms * min_fraction <= max_ms {
                 continue;
             }
-            pass.reads.retain(|read| read.key != before.key);
-            self.line.retain(|read| read.key != before.key);
-            put_back(&mut self.line, before);
+            pass.prefills.retain(|prefill| prefill.key != before.key);
+            self.queue.retain(|prefill| prefill.key != before.key);
+            reinsert(&mut self.queue, before);
         }
     }
 
-    /// What is known of the engine's next passes, for forecasts. Only true
-    /// where the passes have been played up to `now`.
+    /// Takes a snapshot of the engine for predictions. It is valid only if the passes are
+    /// simulated up to `now`.
     #[must_use]
-    pub fn outlook(&self, now: Tick) -> PassOutlook<'_> {
+    pub fn snapshot(&self, now: Tick) -> EngineSnapshot<'_> {
         let pass = self.pass.as_ref();
         let length = pass.map_or(Duration::ZERO, |pass| pass.end.since(pass.start));
-        let writing = self.writers.values();
-        let writing = writing.map(|writer| OutlookWriter::from_load(&writer.load, length));
-        let reads = pass.into_iter().flat_map(|pass| &pass.reads);
-        let reads = reads.filter(|read| read.load.is_writer());
-        let finishing = reads.map(|read| OutlookWriter::from_load(&read.load, Duration::ZERO));
-        let outlook = PassOutlook {
+        let decoding = self.streams.values();
+        let decoding = decoding.map(|stream| SimulatedStream::from_load(&stream.load, length));
+        let prefills = pass.into_iter().flat_map(|pass| &pass.prefills);
+        let prefills = prefills.filter(|prefill| prefill.load.is_writer());
+        let finishing =
+            prefills.map(|prefill| SimulatedStream::from_load(&prefill.load, Duration::ZERO));
+        let snapshot = EngineSnapshot {
             rates: &self.rates,
             pace: self.pace,
             now,
-            wait: pass.map(|pass| pass.end.since(now)),
-            writers: writing.chain(finishing).collect(),
-            line: self.line.clone(),
+            pass_left: pass.map(|pass| pass.end.since(now)),
+            streams: decoding.chain(finishing).collect(),
+            queue: self.queue.clone(),
             active: self.loads().filter(|(_, load)| load.is_writer()).count(),
             memory: self.loads().map(|(_, load)| load.memory).sum(),
             loss: 0.0,
-            joint: Vec::new(),
+            shards: Vec::new(),
         };
-        outlook.with_loss()
+        snapshot.with_loss()
     }
 
-    /// Time until the pass that is under way should end, zero where there is none
-    /// or it is due.
+    /// Time until the predicted end of the pass in progress; zero if there is none or it is
+    /// due.
     pub fn time_to_pass_end(&mut self, now: Tick) -> Duration {
         self.advance(now);
         self.pass.as_ref().map_or(Duration::ZERO, |pass| pass.end.since(now))
     }
 
-    /// Time until a stream that is known is read, zero where it is.
+    /// Time until a known stream is prefilled; zero if it already is.
     #[must_use]
     pub fn time_to_read(&self, key: StreamKey, now: Tick) -> Duration {
-        let in_pass = self.pass.as_ref().filter(|pass| pass.reads.iter().any(|r| r.key == key));
+        let in_pass = self
+            .pass
+            .as_ref()
+            .filter(|pass| pass.prefills.iter().any(|prefill| prefill.key == key));
         match in_pass {
             Some(pass) => pass.end.since(now),
-            None => self.outlook(now).time_to_read(key).unwrap_or_default(),
+            None => self.snapshot(now).time_to_prefill(key).unwrap_or_default(),
         }
     }
 
-    /// Foretells what would become of a load sent now, to which the passes have
-    /// been played.
+    /// Predicts the effect of a load that is sent at `now`. The passes must be simulated up to
+    /// `now`.
     #[must_use]
     pub fn forecast(&self, load: &StreamLoad, now: Tick) -> PassForecast {
-        self.outlook(now).forecast(load)
+        self.snapshot(now).forecast(load)
     }
 }
--- a/src/relay/decide/placement.rs
+++ b/src/relay/decide/placement.rs
@@ -1,8 +1,8 @@
-//! Which targets get a request.
+//! Chooses the targets of a request.
 //!
-//! A plain call goes to the least busy target, nearby ones first. For a prompt,
-//! [`super::group_search`] looks for the engines where it costs least. Whether it
-//! is sent there, placed anew a little later, or refused is decided here.
+//! A plain call goes to the least busy target, preferring nearby ones. For a prompt,
+//! [`super::group_search`] finds the engines with the lowest cost. This module then decides
+//! whether the prompt is sent, placed again a little later, or refused.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,52 +14,58 @@
 use super::targets::{TargetSet, TargetState};
 use crate::time::Tick;
 
-/// Tokens that make a request count for as much as one more short one.
+/// Prompt tokens that add the value of one short request.
 const TOKENS_PER_VALUE: f32 = 10_000.0;
 
-/// Prompts up to this length count as short ones.
+/// Maximum length of a short prompt.
 pub(super) const SHORT_TOKENS: u64 = 24_000;
 
-/// What a prompt asks for.
+/// Size and deadlines of a prompt.
 #[derive(Clone, Copy, Debug)]
 pub struct PromptNeed {
     /// Tokens of the prompt.
     pub prompt: u64,
-    /// Tokens of the answer, as far as known.
+    /// Expected tokens of the answer.
     pub answer: u64,
-    /// Time from its arrival for a first event in time.
+    /// Time from arrival within which the first event is in time.
     pub first_limit: Duration,
-    /// Time since its arrival.
+    /// Time since arrival.
     pub waited: Duration,
-    /// Time until its caller wants no answer any more.
+    /// Time until the caller's deadline.
     pub time_left: Duration,
-    /// Longest pause between events.
+    /// Longest pause between events that is in time.
     pub longest_pause: Duration,
-    /// Whether it was found worth its price before, and has waited since.
+    /// Whether the prompt was admitted by an earlier decision and has waited since.
     pub is_admitted: bool,
 }
 
 impl PromptNeed {
-    /// What the request is worth, in short requests.
+    /// Value of the request, in short requests.
     #[must_use]
     pub fn value(&self) -> f32 {
         1.0 + self.prompt as f32 / TOKENS_PER_VALUE
     }
 
-    /// What the request itself loses where its first event comes after `first`.
+    /// Loss of the request if its first event comes after `first`.
     #[must_use]
-    pub fn time_cost(&self, first: Duration) -> f32 {
+    pub fn loss_at(&self, first: Duration) -> f32 {
         first_event_loss(self.value(), self.waited + first, self.first_limit)
     }
 
-    /// What it costs an engine that holds its memory, where `parts` engines
-    /// read the prompt and `holders` hold it.
+    /// Load on an engine that holds a share of the memory, if `shards` engines prefill the
+    /// prompt and `holders` of them hold it.
     #[must_use]
-    pub fn to_load(&self, read: Duration, parts: usize, holders: usize, passes: u32) -> StreamLoad {
+    pub fn to_load(
+        &self,
+        prefill_time: Duration,
+        shards: usize,
+        holders: usize,
+        passes: u32,
+    ) -> StreamLoad {
         StreamLoad {
-            read_us: (read / parts as u32).as_micros() as u64,
-            tokens: self.prompt / parts as u64,
-            is_part: parts > 1,
+            read_us: (prefill_time / shards as u32).as_micros() as u64,
+            tokens: self.prompt / shards as u64,
+            is_part: shards > 1,
             waited_us: self.waited.as_micros() as u64,
             start_us: 0,
             limit_us: self.first_limit.as_micros() as u64,
@@ -71,60 +77,60 @@
         }
     }
 
-    /// What it costs an engine that only reads a part.
+    /// Load on an engine that only prefills a shard.
     #[must_use]
-    pub fn to_helper_load(&self, read: Duration, parts: usize) -> StreamLoad {
-        StreamLoad { context: 0, memory: 0, passes: 0, ..self.to_load(read, parts, 1, 0) }
+    pub fn to_helper_load(&self, prefill_time: Duration, shards: usize) -> StreamLoad {
+        StreamLoad { context: 0, memory: 0, passes: 0, ..self.to_load(prefill_time, shards, 1, 0) }
     }
 }
 
-/// Memory that has to be reserved at a helper.
+/// Memory to reserve on a helper.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct MemorySeat {
+pub struct MemoryReservation {
     /// The helper.
     pub target: Arc<str>,
-    /// How many tokens it holds.
+    /// Number of tokens to reserve.
     pub tokens: u64,
 }
 
-/// Where a request goes, and why there.
+/// The targets of a request, and the cost of sending it there.
 #[derive(Clone, Debug)]
 pub struct Placement {
     /// The target that answers.
     pub target: Arc<str>,
-    /// Targets that help to read the prompt, those with memory first.
+    /// Targets that prefill shards of the prompt. Helpers that also hold memory come first.
     pub helpers: Vec<Arc<str>>,
-    /// Memory to be reserved at the first of the helpers, where the prompt is
-    /// larger than the target's own.
-    pub seats: Vec<MemorySeat>,
-    /// Foretold time to the first event.
+    /// Memory to reserve on the first helpers, if the prompt exceeds the memory of `target`.
+    pub seats: Vec<MemoryReservation>,
+    /// Predicted time to the first event.
     pub first: Duration,
-    /// Foretold cost, in short requests.
+    /// Predicted cost, in short requests.
     pub cost: f32,
-    /// What others lose by it, part of `cost`.
+    /// Delay cost: predicted loss of other requests. It is part of `cost`.
     pub harm: f32,
-    /// What the request itself loses, at most what it does by coming late.
+    /// Loss of the request itself, at most the loss of a late answer.
     pub own: f32,
-    /// What requests to come lose by the places and the time of engines that it
-    /// takes.
+    /// Opportunity cost: loss of future requests by the slots and the engine time that the
+    /// request takes.
     pub claim: f32,
-    /// Targets that were weighed.
+    /// Number of candidate targets.
     pub candidates: usize,
-    /// Latest time at which it is sent, none where its target takes any number.
+    /// Latest time to send the request; `None` if the target is not rate-limited.
     pub turn_until: Option<Tick>,
 }
 
-/// Which targets a request may go to.
+/// The targets that a request may go to.
 #[derive(Clone, Copy, Debug)]
 pub enum TargetScope<'a> {
-    /// Others than those that have had it.
+    /// Targets other than these, which have already received the request.
     Untried(&'a [Arc<str>]),
-    /// Those that have run it: a bound on their number is reached.
+    /// Only these targets, which have already run the request. They apply once the maximum
+    /// number of targets is reached.
     Only(&'a [Arc<str>]),
 }
 
 impl TargetScope<'_> {
-    fn holds(self, target: &TargetState) -> bool {
+    fn contains(self, target: &TargetState) -> bool {
         let name = &target.record.incarnation;
         match self {
             TargetScope::Untried(tried) => target.is_used && !tried.contains(name),
@@ -133,59 +139,61 @@
     }
 }
 
-/// Whether a request waits for its turn at a target that takes few.
+/// Whether a request may wait for a permit at a rate-limited target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TurnPolicy {
-    /// It goes only where there may be a turn now.
+    /// The request goes only to targets that may have a permit now.
     AtOnce,
-    /// It waits, since nobody else takes it.
+    /// The request waits for a permit, since no other target takes it.
     Waits,
 }
 
-/// What a request may use, and where it comes from.
+/// Constraints on a placement, and where the request comes from.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementQuery<'a> {
-    /// The service, and where its targets may be.
+    /// The service, and the failure domains that its targets may be in.
     pub service: ServiceScope<'a>,
     /// Failure domain of this process.
     pub failure_domain: &'a str,
-    /// Where it may go.
+    /// Targets that the request may go to.
     pub scope: TargetScope<'a>,
-    /// Whether it waits for its turn.
+    /// Whether the request may wait for a permit.
     pub turn: TurnPolicy,
     /// Incarnation of this entry.
     pub entry: u64,
-    /// What is weighed, and how much.
+    /// Weights and switches of the decision.
     pub policy: &'a RelayPolicy,
 }
 
 impl PlacementQuery<'_> {
-    /// How little this entry likes a target, from 0 to 1, at random but always
-    /// the same.
+    /// Bias of this entry against a target, from 0 to 1. It is pseudo-random, but the same at
+    /// each call.
     pub(super) fn preference(&self, target: &str) -> f32 {
         const STEPS: u64 = 1 << 16;
         (self.rank(target) % STEPS) as f32 / STEPS as f32
     }
 
-    /// A target's place in the order of this entry, at random but always the same.
+    /// Rank of a target in this entry's own order of targets. The order is pseudo-random, but
+    /// the same at each call.
     pub(super) fn rank(&self, target: &str) -> u64 {
         xxhash_rust::xxh3::xxh3_64_with_seed(target.as_bytes(), self.entry)
     }
 }
 
-/// What to do with a prompt that was placed and not sent yet.
+/// Decision about a prompt that is placed but not sent yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlacementAction {
-    /// Send it as it was placed.
+    /// Send it as placed.
     Send,
-    /// Place it anew a little later.
+    /// Place it again a little later.
     Wait,
     /// Refuse it.
     Refuse,
 }
 
 impl Placement {
-    /// Decides what to do with a prompt, which would be placed anew after `step`.
+    /// Decides whether to send, delay or refuse a prompt. A delayed prompt is placed again
+    /// after `step`.
     #[must_use]
     pub fn decide(
         &self,
@@ -202,35 +210,35 @@
         }
     }
 
-    /// Returns true where others are spared more by a wait of `step` than the
-    /// prompt loses by coming later. Nobody waits longer than for an objective: what a late
-    /// prompt loses by each further step is little, and it would be held to the end.
+    /// Returns `true` if waiting for `step` saves others more than the prompt loses by it. A
+    /// prompt waits no longer than its limit for the first event: a late prompt loses little by
+    /// each further step, and would be delayed until its deadline.
     fn is_worth_waiting(&self, need: &PromptNeed, step: Duration, policy: &RelayPolicy) -> bool {
         let has_time = self.first + step < need.time_left && need.waited < need.first_limit;
         if need.prompt <= SHORT_TOKENS || !has_time {
             return false;
         }
-        let later = need.time_cost(self.first + step) - need.time_cost(self.first);
-        let fade = Duration::from_millis(policy.harm_fade_ms).as_secs_f32();
-        self.harm * step.as_secs_f32() > later * fade
+        let delay_loss = need.loss_at(self.first + step) - need.loss_at(self.first);
+        let fade_time = Duration::from_millis(policy.harm_fade_ms).as_secs_f32();
+        self.harm * step.as_secs_f32() > delay_loss * fade_time
     }
 
-    /// Returns true where refusing a request loses less than serving it so, or
-    /// where it can not be served in the time that it has.
+    /// Returns `true` if refusing the prompt loses less than serving it, or if it can not be
+    /// served before its deadline.
     ///
-    /// What requests to come lose is weighed once, when a prompt arrives: one that was
-    /// let in and waits for the sake of others is not refused for those who came later.
+    /// The opportunity cost counts only when a prompt arrives. A prompt that is admitted and
+    /// waits for the sake of others is not refused in favour of later arrivals.
     fn is_worse_than_refusal(&self, need: &PromptNeed, policy: &RelayPolicy) -> bool {
         if self.first >= need.time_left {
             return true;
         }
-        let is_weighed = policy.reprices || !need.is_admitted;
-        let claim = if is_weighed { self.claim } else { 0.0 };
-        self.own + self.harm + claim > need.value()
+        let is_counted = policy.reprices || !need.is_admitted;
+        let opportunity_cost = if is_counted { self.claim } else { 0.0 };
+        self.own + self.harm + opportunity_cost > need.value()
     }
 }
 
-/// Chooses a target for a plain call, none where there is none.
+/// Chooses a target for a plain call; `None` if there is none.
 #[must_use]
 pub fn place_call(set: &TargetSet, query: &PlacementQuery<'_>, now: Tick) -> Option<Placement> {
     let targets = candidates(set, query, now);
@@ -258,29 +266,28 @@
     let busy = target.in_flight as f32 / target.record.capacity.max(1) as f32;
     let is_far = *target.record.failure_domain != *query.failure_domain;
     let far = if is_far { query.policy.call_distance } else { 0.0 };
-    busy + far + scarce_cost(target, query.policy)
+    busy + far + permit_cost(target, query.policy)
 }
 
-/// What it costs to take a turn of a target that gives few: others may have nowhere else to
-/// go.
-pub(super) fn scarce_cost(target: &TargetState, policy: &RelayPolicy) -> f32 {
+/// Cost of using a permit of a rate-limited target, which other requests may depend on.
+pub(super) fn permit_cost(target: &TargetState, policy: &RelayPolicy) -> f32 {
     target.rate.map_or(0.0, |_| policy.scarce_cost)
 }
 
-/// The usable targets in a request's scope; those that are left alone only where
-/// there are no others.
+/// The usable targets in the scope of a request. Ejected targets are included only if there are
+/// no others.
 pub(super) fn candidates<'a>(
     set: &'a TargetSet,
     query: &PlacementQuery<'a>,
     now: Tick,
 ) -> Vec<&'a TargetState> {
-    let is_open = |target: &&TargetState| match query.turn {
+    let is_accepting = |target: &&TargetState| match query.turn {
         TurnPolicy::AtOnce => target.is_usable(now),
         TurnPolicy::Waits => target.is_willing(now),
     };
-    let open = query.service.targets(set).filter(is_open);
-    let fresh: Vec<_> = open.filter(|target| query.scope.holds(target)).collect();
-    let is_well = |target: &&TargetState| !(query.policy.ejects && target.is_ejected(now));
-    let well: Vec<_> = fresh.iter().copied().filter(is_well).collect();
-    if well.is_empty() { fresh } else { well }
+    let accepting = query.service.targets(set).filter(is_accepting);
+    let in_scope: Vec<_> = accepting.filter(|target| query.scope.contains(target)).collect();
+    let is_healthy = |target: &&TargetState| !(query.policy.ejects && target.is_ejected(now));
+    let healthy: Vec<_> = in_scope.iter().copied().filter(is_healthy).collect();
+    if healthy.is_empty() { in_scope } else { healthy }
 }
--- a/src/relay/decide/policy.rs
+++ b/src/relay/decide/policy.rs
@@ -1,8 +1,7 @@
-//! What the relay weighs when it decides, in one place.
+//! Weights and switches of the relay's decisions.
 //!
-//! Costs are in short requests unless said otherwise. The defaults hold for any
-//! fleet: they were found on several deployments (`docs/design/decisions.md`),
-//! and each mechanism can be switched off there by one field.
+//! Costs are in short requests unless stated otherwise. The defaults apply to any fleet
+//! (`docs/design/decisions.md`). Each mechanism can be switched off by one field.
 
 use serde::Deserialize;
 
@@ -11,74 +10,77 @@
 /// Weights and switches of the relay's decisions.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-#[expect(clippy::struct_excessive_bools, reason = "each switches off a mechanism of its own")]
+#[expect(clippy::struct_excessive_bools, reason = "each switches off one mechanism")]
 pub struct RelayPolicy {
-    /// Most engines of a service that an entry uses, zero for all. What an entry is
-    /// told and weighs grows with them; fewer leave less room for joint reads.
+    /// Maximum number of engines of a service that an entry uses; zero for all. The reports
+    /// that an entry receives and the candidates that it evaluates grow with this number. A
+    /// smaller number leaves less room for sharded prefills.
     pub most_engines: usize,
-    /// Most engines that read a prompt beside the one that writes, zero for none.
+    /// Maximum number of engines that prefill a prompt besides the one that decodes; zero for
+    /// none.
     pub most_helpers: usize,
-    /// Shortest part of a prompt that is worth an engine of its own, in ms.
+    /// Shortest prefill of a shard that is worth another engine, in ms.
     pub min_part_ms: u64,
-    /// Cost of each helper, as part of a prompt's value: its part delays what is
-    /// read there next, and its failure makes the prompt late.
+    /// Cost of each helper, as a fraction of the prompt's value: its shard delays the next
+    /// prefills there, and its failure makes the prompt late.
     pub helper_cost: f32,
-    /// How much of what others lose by a placement counts, one for all.
+    /// Weight of the loss of other requests by a placement; 1 counts it in full.
     pub harm_weight: f32,
-    /// Gain of a short request for each other one that writes at the same engine:
-    /// it leaves other engines free for long prompts.
+    /// Gain of a short request for each other stream that the same engine decodes. Packing
+    /// leaves other engines free for long prompts.
     pub packing_gain: f32,
-    /// Part of an engine's places that are not packed, as a divisor of them: other
-    /// entries fill them at the same moment, and one too many waits for an end.
+    /// Divisor of an engine's slots that gives the number of slots that are not packed. Other
+    /// entries fill them at the same moment, and a request beyond the last slot waits until
+    /// another one ends.
     pub kept_free_divisor: usize,
-    /// Cost of taking the last place of an engine.
+    /// Cost of taking the last slot of an engine.
     pub near_full_cost: f32,
-    /// Part of that cost that is left for each place more that is free.
+    /// Factor on that cost for each further free slot.
     pub near_full_decay: f32,
-    /// Greatest difference by which entries prefer different engines, so that they
-    /// do not all choose the same one at the same moment.
+    /// Maximum difference by which entries prefer different engines, so that they do not all
+    /// choose the same one at the same moment.
     pub spread: f32,
     /// Cost of an engine in another failure domain.
     pub distance_cost: f32,
-    /// Cost of each request over an engine's capacity: it waits for an end.
+    /// Cost of each request beyond an engine's capacity, which waits until another one ends.
     pub queue_cost: f32,
-    /// Cost of a request at a target that takes few: in short requests, or as a share of a
+    /// Cost of a request on a rate-limited target, in short requests, or as a fraction of a
     /// plain target's slots.
     pub scarce_cost: f32,
-    /// Share of a plain target's slots that distance is worth.
+    /// Cost of a plain target in another failure domain, as a fraction of its slots.
     pub call_distance: f32,
-    /// Most that a second of an engine's reading is worth to requests to come.
+    /// Maximum value of a second of an engine's prefill time to future requests.
     pub engine_price: f32,
-    /// Mean time to read what is in line at engines for which half of that is
-    /// counted, in ms.
+    /// Mean time to prefill the queues of the engines at which half of `engine_price` applies,
+    /// in ms.
     pub half_price_backlog_ms: u64,
-    /// Time in which what others lose by a long prompt is likely to have gone, so
-    /// that it may be worth to wait a little, in ms.
+    /// Time in which the loss of others by a long prompt usually passes, in ms. A prompt may
+    /// wait for that.
     pub harm_fade_ms: u64,
-    /// Whether a prompt that was let in, and waits, may still be refused for the sake of
-    /// requests to come.
+    /// Whether an admitted prompt that waits may still be refused in favour of future requests.
     pub reprices: bool,
-    /// Part of its engine's time that a writer is to answer for where it writes there
-    /// alone, times the places of the engine: those who come later share it.
+    /// Fraction of an engine's time that is charged to a stream that decodes there alone, times
+    /// the number of slots of the engine. Later streams share that time.
     pub writer_share: f32,
-    /// Whether a request is taken elsewhere where its target is silent.
+    /// Whether a request is retried on another target while its target does not respond.
     pub hedges: bool,
-    /// Whether targets are left alone after failures.
+    /// Whether targets are ejected after failures.
     pub ejects: bool,
-    /// Runs beyond the targets that may have a request, at one that has run it: the
-    /// bound is on the number of targets, and a lost answer says little of the next.
+    /// Further runs, beyond the maximum number of targets, on a target that has already run the
+    /// request. The limit applies to the number of targets, and a lost answer says little about
+    /// the next run.
     pub repeated_runs: usize,
-    /// Whether entries tell one another what they place.
+    /// Whether entries announce their placements to one another.
     pub sends_notes: bool,
     /// Whether the pace that engines report is used.
     pub follows_pace: bool,
-    /// How long the end of a pass may be later than foretold where this entry
-    /// would see it, in ms: the engine reads more than is known.
+    /// How much later than predicted a pass may end if this entry would see its end, in ms. The
+    /// engine then prefills more than is known here.
     pub pass_grace_ms: u64,
 }
 
 impl RelayPolicy {
-    /// What holds where the settings say nothing else.
+    /// Defaults of the settings.
     pub const DEFAULT: RelayPolicy = RelayPolicy {
         most_engines: 64,
         most_helpers: 16,
@@ -109,17 +111,17 @@
 }
 
 impl RelayPolicy {
-    /// Checks values that others are divided by.
+    /// Checks the values that are used as divisors.
     ///
     /// # Errors
     ///
-    /// One of them is zero.
+    /// Returns an error if one of them is zero.
     pub fn check(&self) -> Result<()> {
         if self.kept_free_divisor > 0 && self.half_price_backlog_ms > 0 {
             return Ok(());
         }
-        let why = "kept_free_divisor and half_price_backlog_ms of the policy must be above zero";
-        Err(Error::settings(why))
+        let reason = "kept_free_divisor and half_price_backlog_ms of the policy must be above zero";
+        Err(Error::settings(reason))
     }
 }
 
--- a/src/relay/decide/return_time.rs
+++ b/src/relay/decide/return_time.rs
@@ -1,4 +1,4 @@
-//! When callers that are refused are told to come back.
+//! Computes the delay after which refused callers may retry.
 
 use std::time::Duration;
 
@@ -9,33 +9,33 @@
 use super::targets::TargetSet;
 use crate::time::Tick;
 
-/// Least time to come back after a refusal for overload, in times to the first
-/// event: short answers take some two seconds, so a good part of the places is
-/// free again; long prompts come in bursts that last longer.
-const BUSY_OBJECTIVES: std::ops::Range<f64> = 2.7..8.0;
+/// Minimum delay after a refusal for overload, in multiples of the time for the first event.
+/// Short answers take about two seconds, after which many slots are free again; bursts of long
+/// prompts last longer.
+const OVERLOAD_DELAY_FACTOR: std::ops::Range<f64> = 2.7..8.0;
 
-/// Part of the time that a caller has left within which it comes back: callers
-/// wait no longer than a third.
-const LEFT_PART: f64 = 0.33;
+/// Maximum delay as a fraction of the caller's remaining time. Callers wait no longer than a
+/// third of it.
+const TIME_LEFT_FRACTION: f64 = 0.33;
 
-/// How much less than that it may be, at random, so that those who are refused
-/// together do not come back together.
-const SPREAD: std::ops::Range<f64> = 0.6..1.0;
+/// Random factor on that maximum, so that callers that are refused together do not retry
+/// together.
+const RETRY_JITTER: std::ops::Range<f64> = 0.6..1.0;
 
-/// Time to come back where all targets of a service are leaving: those that take their place
-/// list themselves within about a second of their start.
-const REPLACED_AFTER: Duration = Duration::from_secs(1);
+/// Delay if all targets of a service are leaving. Their replacements are listed within about a
+/// second of their start.
+const REPLACEMENT_DELAY: Duration = Duration::from_secs(1);
 
-/// Time to come back where all targets are in failure domains that are out of service: nobody
-/// knows when these are back, and entries hear of it within about that time.
-const RETURNED_AFTER: Duration = Duration::from_secs(2);
+/// Delay if all targets are in failure domains that are out of service. The time of their
+/// return is unknown, and entries learn of it within about this delay.
+const EVACUATION_DELAY: Duration = Duration::from_secs(2);
 
-/// How much later than the moment at which a target takes requests again, at random: callers
-/// that were refused together would fill it at once.
-const REOPENED_SPREAD: std::ops::Range<f64> = 1.0..1.1;
+/// Random factor on the time until a target accepts requests again. Callers that were refused
+/// together would otherwise fill it at once.
+const REOPENING_JITTER: std::ops::Range<f64> = 1.0..1.1;
 
-/// Time until a target of a service takes requests again, none where one does now, or where
-/// none is listed.
+/// Time until a target of a service accepts requests again; `None` if one does now, or if none
+/// is listed.
 #[must_use]
 pub fn until_usable<'a>(
     set: &TargetSet,
@@ -43,16 +43,16 @@
     now: Tick,
 ) -> Option<Duration> {
     let scope = service.into();
-    // Where a request may run in some domains only, others take none of it.
-    let mut shortest = scope.domains.map(|_| REPLACED_AFTER);
+    // For a request that is restricted to failure domains, targets elsewhere do not count.
+    let mut shortest = scope.domains.map(|_| REPLACEMENT_DELAY);
     for target in scope.targets(set).filter(|target| target.is_current()) {
         if target.is_usable(now) {
             return None;
         }
         let wait = if target.is_evacuated() {
-            RETURNED_AFTER
+            EVACUATION_DELAY
         } else if target.is_leaving() {
-            REPLACED_AFTER
+            REPLACEMENT_DELAY
         } else {
             target.backoff(now).max(target.closed_for(now))
         };
@@ -61,8 +61,8 @@
     shortest
 }
 
-/// Time until there may be a turn at a target that takes few requests and would take one now,
-/// zero where there may be one at once, none where there is no such target.
+/// Time until a rate-limited target that accepts requests may have a permit; zero if it may
+/// have one now, `None` if there is no such target.
 #[must_use]
 pub fn until_turn<'a>(
     set: &TargetSet,
@@ -70,23 +70,24 @@
     now: Tick,
 ) -> Option<Duration> {
     let scope = service.into();
-    // Those that take any number are placed at without a turn, or were tried already.
-    let scarce = scope.targets(set).filter(|target| target.rate.is_some());
-    let willing = scarce.filter(|target| target.is_willing(now));
-    willing.map(|target| target.closed_for(now)).min()
+    // Targets without a rate limit need no permit; they were tried already.
+    let rate_limited = scope.targets(set).filter(|target| target.rate.is_some());
+    let accepting = rate_limited.filter(|target| target.is_willing(now));
+    accepting.map(|target| target.closed_for(now)).min()
 }
 
-/// Time to come back for a caller that is refused until then.
+/// Delay for a caller that is refused until a target accepts requests again in `wait`.
 #[must_use]
 pub fn after_reopening(wait: Duration, random: &mut impl Rng) -> Duration {
-    wait.mul_f64(random.random_range(REOPENED_SPREAD))
+    wait.mul_f64(random.random_range(REOPENING_JITTER))
 }
 
-/// Time to come back for a prompt that engines are too busy for: not before they
-/// should have read what is in line now.
+/// Delay for a prompt that the engines are too busy for. It is at least the predicted time to
+/// the first event, in which the engines prefill their queues, but no more than the caller
+/// waits.
 #[must_use]
 pub fn after_overload(placement: &Placement, need: &PromptNeed, random: &mut impl Rng) -> Duration {
-    let wanted = need.first_limit.mul_f64(random.random_range(BUSY_OBJECTIVES));
-    let most = need.time_left.mul_f64(LEFT_PART * random.random_range(SPREAD));
-    wanted.max(placement.first).min(most)
+    let min_delay = need.first_limit.mul_f64(random.random_range(OVERLOAD_DELAY_FACTOR));
+    let max_delay = need.time_left.mul_f64(TIME_LEFT_FRACTION * random.random_range(RETRY_JITTER));
+    min_delay.max(placement.first).min(max_delay)
 }
--- a/src/relay/decide/send_count.rs
+++ b/src/relay/decide/send_count.rs
@@ -1,23 +1,22 @@
-//! How many sends one request may take, beside the budget of second attempts.
+//! Limits the sends of one request, besides the retry budget.
 //!
-//! The load that it answers: targets that are full or fail, one after the other,
-//! while a request has time left. Runs are bounded by the route, which says at how
-//! many targets a request may be; refusals by a count of their own, since a caller
-//! is told better when to come back than tried at target after target.
+//! This matters if one target after the other is full or fails while a request has time left.
+//! The route limits the runs by its maximum number of targets. Refusals have a limit of their
+//! own, since a `retry-after` is better for the caller than further targets.
 
-/// Sends beyond the runs that a request may have: those that were refused.
-const REFUSED_SENDS: usize = 2;
+/// Number of refused sends that a request may have in addition to its runs.
+const MAX_REFUSED_SENDS: usize = 2;
 
-/// How a send ended that brought no answer.
+/// How a send without an answer ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendEnd {
     /// Nothing was sent.
     NotSent,
-    /// It was refused, and has not run.
+    /// The target refused the request without running it.
     Refused,
-    /// It may have run.
+    /// The target may have run the request.
     MayHaveRun,
-    /// It was on a kept connection that its target had forgotten.
+    /// The request was sent on an idle connection that the target had already closed.
     Stale,
 }
 
@@ -29,7 +28,7 @@
 }
 
 impl SendCount {
-    /// Counts a send that ended.
+    /// Records a send that has ended.
     pub fn note(&mut self, end: SendEnd) {
         match end {
             SendEnd::NotSent => {}
@@ -41,21 +40,21 @@
         }
     }
 
-    /// Sends that may have run.
+    /// Number of sends that may have run.
     #[must_use]
     pub fn runs(&self) -> usize {
         self.runs
     }
 
-    /// Returns true where nothing was sent yet.
+    /// Returns `true` if nothing was sent yet.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.sends == 0
     }
 
-    /// Returns true where another send is in bounds of so many runs.
+    /// Returns `true` if another send is within the limit of runs.
     #[must_use]
-    pub fn permits(&self, most_runs: usize) -> bool {
-        self.runs < most_runs && self.sends < most_runs + REFUSED_SENDS
+    pub fn permits(&self, max_runs: usize) -> bool {
+        self.runs < max_runs && self.sends < max_runs + MAX_REFUSED_SENDS
     }
 }
--- a/src/relay/decide/service_scope.rs
+++ b/src/relay/decide/service_scope.rs
@@ -1,4 +1,4 @@
-//! Which targets a request may go to at all, whatever is known of them.
+//! Targets that a request may go to at all, regardless of their state.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 pub struct ServiceScope<'a> {
     /// The service.
     pub service: &'a str,
-    /// Where its targets have to be, none where any failure domain will do.
+    /// Failure domains that the targets may be in; `None` for any.
     pub domains: Option<&'a DomainSet>,
 }
 
@@ -24,12 +24,12 @@
         ServiceScope { service, domains: None }
     }
 
-    /// Its targets.
+    /// The targets in this scope.
     pub fn targets(self, set: &'a TargetSet) -> impl Iterator<Item = &'a TargetState> {
         set.of_service(self.service).filter(move |target| self.permits(target))
     }
 
-    /// Returns true where a target is in a failure domain that is allowed.
+    /// Returns `true` if a target is in a permitted failure domain.
     #[must_use]
     pub fn permits(self, target: &TargetState) -> bool {
         self.domains.is_none_or(|domains| domains.contains(&target.record.failure_domain))
--- a/src/relay/decide/start_wait.rs
+++ b/src/relay/decide/start_wait.rs
@@ -1,41 +1,40 @@
-//! Whether a caller waits for a process that has just started.
+//! Decides how long callers wait for a process that has just started.
 //!
-//! The load that it answers: all processes start at the same moment, and the balancer has
-//! nobody else to send callers to. Each process has its configuration and its targets some
-//! ten to a hundred milliseconds after it listens. Callers that were refused meanwhile came
-//! back once and late: 124 of a day's in the 0.2 s between the starts of 30 processes and
+//! If all processes start at the same moment, the load balancer has no other process for its
+//! callers. Each process gets its configuration and its targets about ten to a hundred
+//! milliseconds after it starts to listen. Callers refused in that time came back only once and
+//! late: 124 requests of a day were refused in the 0.2 s between the starts of 30 processes and
 //! their first configurations.
 
 use std::time::Duration;
 
-/// Age up to which a process without configuration has callers wait for it: some times
-/// what a start takes. One that is still without it is cut off, and refuses at once.
-const START_SPAN: Duration = Duration::from_millis(500);
+/// Age up to which callers wait for a process without configuration: several times the usual
+/// start-up time. An older process without configuration is cut off and refuses at once.
+const START_WINDOW: Duration = Duration::from_millis(500);
 
-/// How far the start of a process is.
+/// Progress of the start of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartPhase {
-    /// The store was asked, and has not answered yet.
+    /// The store was queried and has not answered yet.
     Reading,
-    /// Configuration and targets are there, or the store turned the process away: then
-    /// others serve its callers sooner.
+    /// Configuration and targets are known, or the store refused the process. In the latter
+    /// case other processes serve its callers sooner.
     Over,
 }
 
 impl StartPhase {
-    /// Returns true where nobody waits for the start any more.
+    /// Returns `true` if no caller waits for the start any more.
     #[must_use]
     pub fn is_over(self) -> bool {
         self == StartPhase::Over
     }
 }
 
-/// Longest wait of a request that comes to a process of such an age, zero where it is
-/// decided on at once.
+/// Maximum time that a request waits at a process of this age; zero if it is decided at once.
 #[must_use]
 pub fn start_wait(phase: StartPhase, age: Duration) -> Duration {
     match phase {
-        StartPhase::Reading => START_SPAN.saturating_sub(age),
+        StartPhase::Reading => START_WINDOW.saturating_sub(age),
         StartPhase::Over => Duration::ZERO,
     }
 }
--- a/src/relay/decide/stream_load.rs
+++ b/src/relay/decide/stream_load.rs
@@ -1,59 +1,59 @@
-//! A stream at an engine, and what it costs there.
+//! A stream on an engine and its load there.
 
 use serde::{Deserialize, Serialize};
 
-/// Names a stream among those of all entries.
+/// Key of a stream, unique over all entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct StreamKey {
-    /// Incarnation of the entry that sent it.
+    /// Incarnation of the entry that sent the stream.
     #[serde(rename = "e")]
     pub entry: u64,
-    /// Number of the stream there.
+    /// Number of the stream at that entry.
     #[serde(rename = "n")]
     pub number: u64,
 }
 
-/// What a request costs one engine. Names are short on the wire: each entry is told of
-/// some hundred of these a second.
+/// Load of a request on one engine. The serialized names are short, since each entry receives
+/// several hundred loads a second.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StreamLoad {
-    /// Time to read its prompt, or its part of it, in microseconds.
+    /// Time to prefill the prompt or its shard, in microseconds.
     #[serde(rename = "r")]
     pub read_us: u64,
-    /// Tokens of the prompt, or of the part, that are read here.
+    /// Prompt tokens that are prefilled here.
     #[serde(rename = "t")]
     pub tokens: u64,
-    /// True where other engines read parts of the same prompt.
+    /// Whether this is a shard of a prompt that several engines prefill.
     #[serde(rename = "j")]
     pub is_part: bool,
-    /// Tokens of context while it writes, zero for a helper that only reads.
+    /// Tokens of context while decoding; zero for a helper.
     #[serde(rename = "c")]
     pub context: u64,
-    /// Tokens of memory it takes here.
+    /// Memory on this engine, in tokens.
     #[serde(rename = "m")]
     pub memory: u64,
-    /// Passes that it is likely to write for, zero for a helper.
+    /// Expected number of decoding passes; zero for a helper.
     #[serde(rename = "p")]
     pub passes: u32,
-    /// Time it has waited before it was placed, in microseconds.
+    /// Time that the request waited before it was placed, in microseconds.
     #[serde(rename = "w")]
     pub waited_us: u64,
-    /// Foretold time from then to its first event, in microseconds.
+    /// Predicted time from the placement to the first event, in microseconds.
     #[serde(rename = "s")]
     pub start_us: u64,
-    /// Time from its arrival for a first event in time, in microseconds.
+    /// Time from arrival within which the first event is in time, in microseconds.
     #[serde(rename = "l")]
     pub limit_us: u64,
-    /// Longest pause between its events that is still in time, in microseconds.
+    /// Longest pause between events that is in time, in microseconds.
     #[serde(rename = "g")]
     pub pause_us: u64,
-    /// What it is worth, in short requests.
+    /// Value of the request, in short requests.
     #[serde(rename = "v")]
     pub value: f32,
 }
 
 impl StreamLoad {
-    /// Returns true where it writes here once it is read.
+    /// Returns `true` if the engine decodes the stream after its prefill.
     #[must_use]
     pub fn is_writer(&self) -> bool {
         self.passes > 0
--- a/tests/relay/subset.rs
+++ b/tests/relay/engine_subset.rs
@@ -1,4 +1,4 @@
-//! Which engines of a large fleet an entry uses.
+//! The engines of a large fleet that an entry uses.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -8,10 +8,10 @@
 
 use crate::fixture::{at, engines, name};
 
-const MOST: usize = 24;
+const MAX_ENGINES: usize = 24;
 
-fn used(set: &mut TargetSet, entry: u64, domain: &str) -> Vec<Arc<str>> {
-    let query = SubsetQuery { entry, failure_domain: domain, most: MOST };
+fn use_engines(set: &mut TargetSet, entry: u64, domain: &str) -> Vec<Arc<str>> {
+    let query = SubsetQuery { entry, failure_domain: domain, most: MAX_ENGINES };
     mark_used(set, &[name("engines")], query, at(0));
     let names = set.iter().filter(|target| target.is_used);
     let mut names: Vec<_> = names.map(|target| target.record.incarnation.clone()).collect();
@@ -30,26 +30,26 @@
 }
 
 #[test]
-fn a_small_fleet_is_used_whole() {
-    assert_eq!(used(&mut engines(24), 1, "here").len(), 24);
+fn all_engines_of_a_small_fleet_are_used() {
+    assert_eq!(use_engines(&mut engines(24), 1, "here").len(), 24);
 }
 
 #[test]
-fn of_a_large_fleet_a_bounded_part_is_used_half_of_it_near() {
+fn a_bounded_part_of_a_large_fleet_is_used_and_half_of_it_is_near() {
     let mut set = fleet();
-    let names = used(&mut set, 7, "d3");
-    assert_eq!(names.len(), MOST);
+    let names = use_engines(&mut set, 7, "d3");
+    assert_eq!(names.len(), MAX_ENGINES);
     let near = names.iter().filter(|name| &*set.get(name).unwrap().record.failure_domain == "d3");
-    assert_eq!(near.count(), MOST / 2);
+    assert_eq!(near.count(), MAX_ENGINES / 2);
 }
 
-/// With a hundred entries no engine may be left out or be everybody's.
+/// With a hundred entries, each engine is used by some entries, and none by too many.
 #[test]
 fn entries_spread_over_all_engines() {
     let mut set = fleet();
     let mut uses: HashMap<Arc<str>, usize> = HashMap::new();
     for entry in 0..103 {
-        for name in used(&mut set, 1_000 + entry, &format!("d{}", entry % 5)) {
+        for name in use_engines(&mut set, 1_000 + entry, &format!("d{}", entry % 5)) {
             *uses.entry(name).or_default() += 1;
         }
     }
@@ -58,22 +58,22 @@
 }
 
 #[test]
-fn the_loss_of_one_engine_changes_one_member() {
+fn the_loss_of_an_engine_changes_one_member() {
     let mut set = fleet();
-    let before = used(&mut set, 7, "d3");
+    let before = use_engines(&mut set, 7, "d3");
     set.get_mut(&before[5]).unwrap().record.is_leaving = true;
-    let after = used(&mut set, 7, "d3");
+    let after = use_engines(&mut set, 7, "d3");
     let kept = before.iter().filter(|name| after.contains(name)).count();
-    assert_eq!((after.len(), kept), (MOST, MOST - 1));
+    assert_eq!((after.len(), kept), (MAX_ENGINES, MAX_ENGINES - 1));
 }
 
-/// An engine that fails gives its place to another one until it is tried again.
+/// An engine that fails is replaced by another one until it is tried again.
 #[test]
-fn an_engine_that_is_left_alone_is_replaced_meanwhile() {
+fn an_ejected_engine_is_replaced_meanwhile() {
     let mut set = fleet();
-    let before = used(&mut set, 7, "d3");
+    let before = use_engines(&mut set, 7, "d3");
     set.get_mut(&before[5]).unwrap().note_failure(TargetFault::Broken, at(0));
-    let after = used(&mut set, 7, "d3");
-    assert_eq!(after.len(), MOST);
+    let after = use_engines(&mut set, 7, "d3");
+    assert_eq!(after.len(), MAX_ENGINES);
     assert!(!after.contains(&before[5]));
 }
--- a/tests/relay/fixture.rs
+++ b/tests/relay/fixture.rs
@@ -1,4 +1,4 @@
-//! Targets and needs that the tests share.
+//! Fixtures shared by the tests.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -20,7 +20,7 @@
 use shalelane::relay::discovery::store_revision::StoreRevision;
 use shalelane::time::Tick;
 
-/// The entry that looks on.
+/// Incarnation of the entry under test.
 pub const OBSERVER: u64 = 1;
 
 pub fn ms(ms: u64) -> Duration {
@@ -60,7 +60,7 @@
     })
 }
 
-/// A revision of a store that never came back from a copy.
+/// A revision of a store that was never restored from a copy.
 pub fn revision(number: u64) -> StoreRevision {
     StoreRevision { epoch: 0, number }
 }
@@ -82,7 +82,7 @@
     }
 }
 
-/// News of a configuration whose notes can all be read.
+/// An update of a configuration in which everything is readable.
 pub fn config_news(revision: StoreRevision, config: RelayConfig) -> ConfigNews {
     ConfigNews { revision, config, unreadable: Vec::new() }
 }
@@ -131,12 +131,12 @@
     }
 }
 
-/// What a prompt costs an engine that reads one of `parts` of it and writes.
+/// Load on an engine that prefills one of `parts` shards of a prompt and decodes the answer.
 pub fn part_load(prompt: u64, parts: usize) -> StreamLoad {
     need(prompt).to_load(rates().read_time(prompt), parts, 1, 20)
 }
 
-/// What it costs an engine that only helps.
+/// Load on an engine that only prefills a shard.
 pub fn helper_load(prompt: u64, parts: usize) -> StreamLoad {
     need(prompt).to_helper_load(rates().read_time(prompt), parts)
 }
@@ -163,7 +163,7 @@
     text.into()
 }
 
-/// Checks a property on many inputs, the same at each run.
+/// Checks a property on many inputs, which are the same in each run.
 pub fn check<A: Testable>(property: A) {
     const SEED: u64 = 20_261_202;
     println!("seed {SEED}");
--- a/tests/relay/main.rs
+++ b/tests/relay/main.rs
@@ -1,28 +1,28 @@
-//! The deciding parts of the relay, without sockets.
+//! Tests of the relay's decisions, without sockets.
 
 mod budget;
 mod config_news;
 mod crashes;
+mod engine_subset;
 mod evacuations;
 mod events;
 mod fixture;
-mod homes;
+mod instances;
 mod list_news;
-mod lives;
 mod note_parts;
 mod notes;
 mod notices;
-mod passes;
-mod places;
+mod pass_model;
+mod placement;
 mod proofs;
 mod quarantine;
 mod rates;
+mod regions;
 mod restored_store;
 mod return_time;
 mod rules;
 mod start_wait;
 mod stop;
-mod subset;
 mod targets;
 mod turns;
 mod warmups;
--- a/tests/relay/places.rs
+++ b/tests/relay/placement.rs
@@ -1,4 +1,4 @@
-//! Where prompts go.
+//! Placement of prompts and plain calls.
 
 use std::collections::HashSet;
 
@@ -30,38 +30,38 @@
     placement.decide(need, ms(100), &RelayPolicy::DEFAULT)
 }
 
-/// Puts short writers at the first `busy` engines.
-fn busy(set: &mut TargetSet, busy: usize, writers: u64) {
-    for number in 0..busy {
+/// Adds short decoding streams to the first `engines` engines.
+fn occupy(set: &mut TargetSet, engines: usize, streams: u64) {
+    for number in 0..engines {
         let target = set.get_mut(&format!("e{number}")).unwrap();
         let model = target.model.as_mut().unwrap();
-        for writer in 0..writers {
-            model.add(key(number as u64 * 100 + writer), short_load(), at(0));
+        for stream in 0..streams {
+            model.add(key(number as u64 * 100 + stream), short_load(), at(0));
         }
         model.advance(at(1_000));
     }
 }
 
 #[test]
-fn short_prompts_are_packed() {
+fn short_prompts_are_packed_on_one_engine() {
     let mut set = engines(6);
-    busy(&mut set, 1, 6);
+    occupy(&mut set, 1, 6);
     assert_eq!(place(&set, &need(5_000)).unwrap().target, name("e0"));
 }
 
 #[test]
-fn a_full_engine_takes_no_more() {
+fn a_full_engine_gets_no_more_prompts() {
     let mut set = engines(6);
-    busy(&mut set, 1, 16);
+    occupy(&mut set, 1, 16);
     assert_ne!(place(&set, &need(5_000)).unwrap().target, name("e0"));
 }
 
-/// Past failure: entries that chose at the same moment filled an engine over its
-/// places, and one in twenty short prompts waited there for an end.
+/// Regression: entries that chose at the same moment overfilled an engine, and one in twenty
+/// short prompts waited there for another request to end.
 #[test]
-fn the_last_place_is_left_to_others_while_there_are_more() {
+fn the_last_slot_is_left_free_while_another_engine_has_more() {
     let mut set = engines(2);
-    busy(&mut set, 1, 15);
+    occupy(&mut set, 1, 15);
     let model = set.get_mut("e1").unwrap().model.as_mut().unwrap();
     for number in 0..4 {
         model.add(key(1_000 + number), short_load(), at(0));
@@ -70,9 +70,9 @@
 }
 
 #[test]
-fn long_prompts_are_read_jointly_and_away_from_short_writers() {
+fn long_prompts_are_sharded_over_engines_without_short_streams() {
     let mut set = engines(12);
-    busy(&mut set, 4, 10);
+    occupy(&mut set, 4, 10);
     let placement = place(&set, &need(210_000)).unwrap();
     assert!(placement.helpers.len() >= 5, "{placement:?}");
     let members: Vec<_> = placement.helpers.iter().chain([&placement.target]).collect();
@@ -80,42 +80,42 @@
 }
 
 #[test]
-fn a_prompt_over_one_engine_holds_memory_at_others() {
+fn a_prompt_larger_than_one_engine_reserves_memory_on_helpers() {
     let set = engines(6);
     let need = need(900_000);
     let placement = place(&set, &need).unwrap();
-    let seats: u64 = placement.seats.iter().map(|seat| seat.tokens).sum();
-    assert!(seats + 405_000 >= need.prompt + need.answer);
+    let reserved: u64 = placement.seats.iter().map(|reservation| reservation.tokens).sum();
+    assert!(reserved + 405_000 >= need.prompt + need.answer);
     assert!(placement.seats.iter().all(|seat| placement.helpers.contains(&seat.target)));
 }
 
 #[test]
-fn a_prompt_that_all_engines_together_can_not_hold_is_not_placed() {
+fn a_prompt_larger_than_the_memory_of_all_engines_is_not_placed() {
     assert!(place(&engines(2), &need(950_000)).is_none());
 }
 
 #[test]
-fn serving_that_costs_more_than_it_is_worth_is_worse_than_a_refusal() {
+fn a_prompt_that_costs_more_than_its_value_is_refused() {
     let mut set = engines(3);
-    busy(&mut set, 3, 18);
+    occupy(&mut set, 3, 18);
     let need = need(5_000);
     let placement = place(&set, &need).unwrap();
     assert_eq!(action(&placement, &need), PlacementAction::Refuse, "{placement:?}");
 }
 
-/// A placement at a line that is read after `seconds`.
+/// A placement on an engine whose queue takes `seconds` to prefill.
 fn late_placement(seconds: u64) -> Placement {
     let mut set = engines(1);
     let model = set.get_mut("e0").unwrap().model.as_mut().unwrap();
-    let line = StreamLoad { read_us: seconds * 1_000_000, ..part_load(300_000, 1) };
-    model.add(key(1), line, at(1_000));
+    let queue = StreamLoad { read_us: seconds * 1_000_000, ..part_load(300_000, 1) };
+    model.add(key(1), queue, at(1_000));
     place(&set, &need(50_000)).unwrap()
 }
 
-/// Past failure: a share of the limit decided whether a request was refused, and
-/// a refusal counted as though it were served later.
+/// Regression: whether a request was refused depended on a fraction of the limit, and a refusal
+/// counted as if the request were served later.
 #[test]
-fn what_is_late_is_served_where_nobody_loses_by_it() {
+fn a_late_prompt_is_served_if_no_other_request_loses_by_it() {
     let placement = late_placement(4);
     let need = need(50_000);
     assert!(placement.first > need.first_limit);
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn what_can_not_be_served_in_the_time_left_is_refused_at_any_time() {
+fn a_prompt_that_can_not_be_served_before_its_deadline_is_refused() {
     let placement = late_placement(4);
     for waited in [0, 200, 2_000] {
         let need = PromptNeed { waited: ms(waited), time_left: ms(3_900), ..need(50_000) };
@@ -132,17 +132,17 @@
 }
 
 #[test]
-fn a_prompt_waits_while_others_are_spared_more_than_it_loses() {
+fn a_prompt_waits_while_this_saves_others_more_than_it_loses() {
     let need = need(210_000);
     let placement = Placement { first: ms(500), harm: 6.0, own: 1.0, ..late_placement(1) };
     assert_eq!(action(&placement, &need), PlacementAction::Wait);
     assert_eq!(action(&Placement { harm: 0.1, ..placement }, &need), PlacementAction::Send);
 }
 
-/// Past failure: a prompt that had been taken waited, and was then placed where it
-/// made the short streams of six engines stand still.
+/// Regression: an admitted prompt waited and was then placed where it stalled the short streams
+/// of six engines.
 #[test]
-fn a_prompt_that_waited_is_not_sent_where_it_harms_more_than_it_is_worth() {
+fn a_prompt_that_waited_is_refused_if_it_costs_others_more_than_its_value() {
     let need = PromptNeed { waited: ms(400), ..need(210_000) };
     let harm = need.value() * 1.2;
     let placement = Placement { first: ms(1_900), harm, own: 4.0, ..late_placement(1) };
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn a_failing_target_is_left_alone_for_a_while_unless_all_fail() {
+fn a_failing_target_is_ejected_unless_all_fail() {
     let mut set = engines(2);
     let fault = TargetFault::Broken;
     assert!(set.get_mut("e0").unwrap().note_failure(fault, at(1_000)).is_some());
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn a_target_that_was_tried_is_not_tried_again() {
+fn a_tried_target_is_not_tried_again() {
     let set = engines(2);
     let tried = [name("e0")];
     let query = PlacementQuery { scope: TargetScope::Untried(&tried), ..ANY_QUERY };
@@ -173,22 +173,22 @@
 }
 
 #[test]
-fn every_placement_is_proper() {
+fn every_placement_is_valid() {
     fn property(count: u8, loads: Vec<(u8, u8)>, prompt: u32) -> bool {
         let count = count % 20 + 1;
         let mut set = engines(count);
-        for (number, (target, writers)) in loads.into_iter().enumerate() {
+        for (number, (target, streams)) in loads.into_iter().enumerate() {
             let target = set.get_mut(&format!("e{}", target % count)).unwrap();
             let model = target.model.as_mut().unwrap();
-            for writer in 0..writers % 20 {
-                model.add(key(number as u64 * 100 + u64::from(writer)), short_load(), at(0));
+            for stream in 0..streams % 20 {
+                model.add(key(number as u64 * 100 + u64::from(stream)), short_load(), at(0));
             }
             model.advance(at(1_000));
         }
         let need = need(u64::from(prompt % 1_000_000) + 1);
         let Some(placement) = place(&set, &need) else { return true };
         let members: HashSet<_> = placement.helpers.iter().chain([&placement.target]).collect();
-        let memory: u64 = placement.seats.iter().map(|seat| seat.tokens).sum();
+        let reserved: u64 = placement.seats.iter().map(|reservation| reservation.tokens).sum();
         members.len() == placement.helpers.len() + 1
             && placement.helpers.len() <= RelayPolicy::DEFAULT.most_helpers
             && placement.seats.len() <= placement.helpers.len()
@@ -196,42 +196,42 @@
                 .seats
                 .iter()
                 .zip(&placement.helpers)
-                .all(|(seat, helper)| seat.target == *helper)
-            && memory + 450_000 >= need.prompt + need.answer
+                .all(|(reservation, helper)| reservation.target == *helper)
+            && reserved + 450_000 >= need.prompt + need.answer
     }
     check(property as fn(u8, Vec<(u8, u8)>, u32) -> bool);
 }
 
-/// Past failure: engines that only help were weighed as though they were to
-/// write, which made prompts in line there seem to gain by it.
+/// Regression: engines that only help were evaluated as if they decoded, so that queued prompts
+/// there seemed to gain by it.
 #[test]
-fn a_helper_is_not_weighed_as_a_writer() {
+fn a_helper_is_not_evaluated_as_a_decoding_engine() {
     let mut set = engines(3);
     for target in set.iter_mut() {
         let model = target.model.as_mut().unwrap();
-        // The first writes soon, and waits for the pass that reads the second.
+        // The first prompt decodes soon and waits for the pass that prefills the second.
         for (number, load) in [(2, helper_load(800_000, 16)), (1, part_load(50_040, 2))] {
             model.add(key(number), StreamLoad { limit_us: 600_000_000, ..load }, at(990));
         }
         model.advance(at(1_000));
     }
     let placement = place(&set, &need(300_000)).unwrap();
-    // At the one that writes they share a pass, which spares them a pause.
+    // On the engine that decodes they share a pass, which spares them a pause.
     let gain = need(50_040).value() * 0.75;
     assert!(placement.harm > -gain - 0.01, "{placement:?}");
 }
 
-/// Past failure: a prompt that is read jointly was counted as late once for each
-/// engine that made a part of it later, so that long prompts were refused, or read by
-/// a few engines only, while little else was lost.
+/// Regression: a sharded prompt was counted as late once for each engine that delayed one of
+/// its shards. Long prompts were refused, or prefilled by a few engines only, although little
+/// else was lost.
 #[test]
-fn a_joint_prompt_that_several_engines_make_late_is_late_once() {
+fn a_sharded_prompt_delayed_by_several_engines_is_late_once() {
     let mut set = engines(8);
     for target in set.iter_mut() {
         let model = target.model.as_mut().unwrap();
-        // Read in time where nothing goes before it, and late otherwise.
-        let part = StreamLoad { limit_us: 1_100_000, ..helper_load(400_000, 8) };
-        model.add(key(1), part, at(990));
+        // In time if nothing is prefilled before it, and late otherwise.
+        let shard = StreamLoad { limit_us: 1_100_000, ..helper_load(400_000, 8) };
+        model.add(key(1), shard, at(990));
         model.advance(at(1_000));
     }
     let placement = place(&set, &need(300_000)).unwrap();
@@ -239,37 +239,41 @@
     assert!(placement.harm < need(400_000).value(), "{placement:?}");
 }
 
-/// The load that it answers: answers that are written alone at many engines take half of
-/// the time of those engines, while long prompts wait to be read.
+/// Answers that are decoded alone on many engines take half of the time of these engines while
+/// long prompts wait for their prefill.
 #[test]
-fn answers_are_written_together_while_engines_have_much_to_read() {
-    let place_middle = |backlog: bool| {
+fn answers_are_decoded_together_while_prefill_queues_are_long() {
+    let place_medium = |has_backlog: bool| {
         let mut set = engines(6);
         for target in set.iter_mut() {
-            let is_writing = target.record.incarnation == name("e3");
+            let is_decoding = target.record.incarnation == name("e3");
             let model = target.model.as_mut().unwrap();
-            if is_writing {
+            if is_decoding {
                 model.add(key(1), part_load(30_000, 1), at(0));
             }
-            if backlog {
-                let part = StreamLoad { limit_us: 60_000_000, ..helper_load(900_000, 6) };
-                model.add(key(2), part, at(990));
+            if has_backlog {
+                let shard = StreamLoad { limit_us: 60_000_000, ..helper_load(900_000, 6) };
+                model.add(key(2), shard, at(990));
             }
             model.advance(at(1_000));
         }
         place(&set, &PromptNeed { first_limit: ms(30_000), ..need(30_000) }).unwrap()
     };
-    assert_eq!(place_middle(true).target, name("e3"));
-    assert_ne!(place_middle(false).target, name("e3"), "nothing is saved where nothing waits");
+    assert_eq!(place_medium(true).target, name("e3"));
+    assert_ne!(
+        place_medium(false).target,
+        name("e3"),
+        "packing saves nothing while no prompt waits"
+    );
 }
 
-/// Past failure: the engine that was cheapest to write at was taken whether it had memory
-/// or not. Where long prompts had filled its memory, short ones were refused at once as
-/// though no engine could take them, with sixty engines at hand.
+/// Regression: the cheapest engine for decoding was chosen whether it had memory or not. If
+/// long prompts had filled its memory, short prompts were refused at once as if no engine could
+/// take them, although sixty engines were available.
 #[test]
-fn a_prompt_goes_past_an_engine_whose_memory_is_full() {
+fn an_engine_whose_memory_is_full_is_skipped() {
     let mut set = engines(6);
-    busy(&mut set, 1, 6);
+    occupy(&mut set, 1, 6);
     let model = set.get_mut("e0").unwrap().model.as_mut().unwrap();
     let full = StreamLoad { memory: 440_000, context: 0, pause_us: 60_000_000, ..short_load() };
     model.add(key(7), full, at(900));
@@ -278,29 +282,33 @@
     assert_ne!(placement.target, name("e0"));
 }
 
-/// Past failure: prompts that waited for the sake of others were refused 1.4 s later, since
-/// more had come meanwhile that they were weighed against.
+/// Regression: prompts that waited for the sake of others were refused 1.4 s later, since they
+/// were weighed against later arrivals.
 #[test]
-fn a_prompt_that_was_let_in_is_not_refused_for_those_who_come_later() {
-    let placement = |claim| Placement {
-        claim,
+fn an_admitted_prompt_is_not_refused_in_favour_of_later_arrivals() {
+    let placement = |cost_to_future| Placement {
+        claim: cost_to_future,
         own: 5.0,
         harm: 3.0,
         ..place(&engines(6), &need(400_000)).unwrap()
     };
     let arriving = need(400_000);
     let waiting = PromptNeed { waited: ms(1_400), is_admitted: true, ..arriving };
-    let dear = placement(arriving.value());
-    assert_eq!(action(&dear, &arriving), PlacementAction::Refuse);
-    assert_ne!(action(&dear, &waiting), PlacementAction::Refuse);
-    let harmful = Placement { harm: arriving.value(), ..placement(0.0) };
-    assert_eq!(action(&harmful, &waiting), PlacementAction::Refuse, "others would lose more");
+    let costly = placement(arriving.value());
+    assert_eq!(action(&costly, &arriving), PlacementAction::Refuse);
+    assert_ne!(action(&costly, &waiting), PlacementAction::Refuse);
+    let delaying = Placement { harm: arriving.value(), ..placement(0.0) };
+    assert_eq!(
+        action(&delaying, &waiting),
+        PlacementAction::Refuse,
+        "other requests would lose more than its value"
+    );
 }
 
-/// A prompt that is late already loses little by each further wait, and would be held until
-/// its time is up as long as others are harmed at all.
+/// A late prompt loses little by each further wait, and would be delayed until its deadline as
+/// long as it costs others anything.
 #[test]
-fn nobody_waits_for_others_longer_than_for_an_objective() {
+fn a_prompt_waits_no_longer_than_its_first_event_limit() {
     let arriving = need(400_000);
     let placement =
         Placement { own: 30.0, harm: 8.0, claim: 0.0, ..place(&engines(6), &arriving).unwrap() };
--- a/tests/relay/targets.rs
+++ b/tests/relay/targets.rs
@@ -1,4 +1,4 @@
-//! Which targets are known and used.
+//! Known and usable targets.
 
 use shalelane::relay::core::RelayCore;
 use shalelane::relay::decide::placement::TargetScope;
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn what_is_no_longer_listed_is_gone_at_once() {
+fn an_unlisted_target_is_removed_at_once() {
     let mut set = listed(&[record("a", 1), record("b", 2)]);
     let change = set.take_list(vec![record("a", 1)], false, at(10));
     assert_eq!(change.removed, [name("b")]);
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn after_an_outage_what_is_missing_may_come_back_within_two_seconds() {
+fn after_an_outage_a_missing_target_may_come_back_within_two_seconds() {
     let mut set = listed(&[record("a", 1), record("b", 2)]);
     set.take_list(vec![], true, at(10_000));
     assert_eq!(usable(&set), ["a", "b"]);
@@ -57,10 +57,10 @@
     assert_eq!(usable(&set), ["a"]);
 }
 
-/// Past failure: a target that had left was looked for only each 250 ms and got
-/// a request 2,009 ms after its removal.
+/// Regression: targets that had left were expired only every 250 ms, and one of them received a
+/// request 2,009 ms after its removal.
 #[test]
-fn what_does_not_come_back_gets_nothing_two_seconds_after_its_removal() {
+fn a_removed_target_receives_nothing_after_two_seconds() {
     let mut core = ready_core();
     core.targets.take_removal("a", Some(at(1_000)), at(1_000));
     assert!(core.place("engines", Some(&need(5_000)), ANY, at(2_500)).is_some());
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_removal_heard_after_an_outage_waits_as_well() {
+fn a_removal_received_after_an_outage_is_delayed_as_well() {
     let mut set = listed(&[record("a", 1), record("b", 2)]);
     set.take_removal("a", Some(at(1_000)), at(1_000));
     set.take_removal("b", None, at(1_000));
@@ -78,17 +78,17 @@
 }
 
 #[test]
-fn a_target_that_leaves_does_not_come_back() {
+fn a_leaving_target_does_not_come_back() {
     let mut set = listed(&[record("a", 1)]);
     set.take_change(TargetRecord { is_leaving: true, ..record("a", 1) }, at(10));
     set.take_change(record("a", 1), at(20));
     assert!(usable(&set).is_empty());
 }
 
-/// Past failure: after a loss of power the list held two lives of each target,
-/// and a joint read named one address twice.
+/// Regression: after a power failure the list held two instances of each target, and a sharded
+/// prefill named one address twice.
 #[test]
-fn of_two_lives_at_one_address_only_the_later_is_used() {
+fn of_two_instances_at_one_address_only_the_later_is_used() {
     let later = TargetRecord { listed_at: revision(9), ..record("b", 1) };
     let mut set = listed(&[record("a", 1), later]);
     assert_eq!(usable(&set), ["b"]);
@@ -96,8 +96,8 @@
     assert_eq!(usable(&set), ["a"]);
 }
 
-/// Past failure: after a restart of all, the list came before the
-/// configuration, and no engine took a prompt for the rest of the day.
+/// Regression: after a restart of all processes the list came before the configuration, and no
+/// engine took a prompt for the rest of the day.
 #[test]
 fn a_target_listed_before_the_configuration_takes_prompts() {
     let mut core = new_core();
@@ -107,16 +107,17 @@
     assert!(core.place("engines", Some(&need(5_000)), ANY, at(2)).is_some());
 }
 
-/// After an outage of the store an entry heard of a removal 0.53 s after the store had taken it,
-/// and kept the target for its whole grace from then on: a request reached it 2.012 s after the
-/// ack, where the bound is two seconds.
+/// Regression: after an outage of the store, an entry received a removal 0.53 s after the store
+/// had recorded it, and kept the target for the full window from then on. A request reached the
+/// target 2.012 s after the acknowledgement; the bound is two seconds.
 #[test]
-fn a_removal_that_is_heard_late_after_an_outage_keeps_the_drain_bound() {
-    const HEARD_AFTER: u64 = 530;
+fn a_removal_received_late_after_an_outage_keeps_the_drain_bound() {
+    const RECEIVED_AFTER: u64 = 530;
     const BOUND: u64 = 2_000;
     let mut set = engines(2);
-    set.take_removal("e0", Some(at(0)), at(HEARD_AFTER));
+    set.take_removal("e0", Some(at(0)), at(RECEIVED_AFTER));
     set.expire(at(BOUND));
-    let used = set.usable("engines", at(BOUND)).any(|target| &*target.record.incarnation == "e0");
-    assert!(!used, "still sent requests 2 s after its removal");
+    let is_used =
+        set.usable("engines", at(BOUND)).any(|target| &*target.record.incarnation == "e0");
+    assert!(!is_used, "the target is still usable 2 s after its removal");
 }
