--- a/src/relay/decide/loss.rs
+++ b/src/relay/decide/loss.rs
@@ -12,10 +12,10 @@
 /// answer that is predicted to be just in time may turn out late.
 const TIME_LOSS: f32 = 0.25;
 
-/// Fraction of the time for the first event within which a prompt should start.
+/// Fraction of the time for the first event after which a predicted first event counts as late.
 pub const FIRST_EVENT_FRACTION: f64 = 0.8;
 
-/// Maximum of the square of the used fraction of time.
+/// Maximum of the square of the used fraction of that time, by which `TIME_LOSS` is multiplied.
 const MAX_SQUARED_FRACTION: f32 = 4.0;
 
 /// Fraction of the longest pause from which a pass counts as a risk. A pass that is predicted
--- a/src/relay/decide/target_state.rs
+++ b/src/relay/decide/target_state.rs
@@ -104,17 +104,17 @@
 /// How a target failed a request, as far as it concerns the target's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TargetFault {
-    /// It refused the connection.
+    /// The target refused the connection.
     Unreachable,
     /// The connection broke.
     Broken,
-    /// It did not answer in time.
+    /// The target did not answer in time.
     Silent,
-    /// Its answer is malformed.
+    /// The answer is malformed.
     Garbled,
-    /// It answered with an error.
+    /// The target answered with an error.
     Error,
-    /// It refused the request because it is full.
+    /// The target refused the request because it is full.
     Full,
     /// Another instance of the target uses the address.
     Replaced,
@@ -134,18 +134,18 @@
     pub subscribers: usize,
     /// Number of requests of this process on the target.
     pub in_flight: usize,
-    /// When it last sent anything.
+    /// When the target last sent anything.
     pub heard_at: Tick,
     /// When the oldest request since then was sent.
     pub waiting_since: Option<Tick>,
-    /// Start of the uninterrupted period in which it refuses connections.
+    /// Start of the uninterrupted period in which the target refuses connections.
     unreachable_since: Option<Tick>,
     failures: u32,
     ejections: u32,
     ejected_until: Tick,
     /// State that its answers announced.
     pub(super) announced: KeptNotice,
-    /// Rate that it accepts from all entries together, if it is rate-limited.
+    /// Rate that the target accepts from all entries together, if it is rate-limited.
     pub rate: Option<RateLimit>,
     /// Rate limit during its warm-up.
     pub warmup_limit: Option<WarmupLimit>,
@@ -153,11 +153,11 @@
     pub(super) warmup: WarmupState,
     /// Whether its failure domain is out of service.
     pub(super) is_evacuated: bool,
-    /// Earliest time of a permit, if it is rate-limited.
+    /// Earliest time of a permit, if the target is rate-limited.
     closed_until: Tick,
     /// When the agent that issues its permits did not answer.
     pub unheard_at: Option<Tick>,
-    /// When it is removed, if it is missing from the list.
+    /// When the target is removed, if it is missing from the list.
     pub(super) remove_at: Option<Tick>,
     pub(super) is_superseded: bool,
     /// Whether the configuration names its service.
@@ -199,13 +199,13 @@
         }
     }
 
-    /// Returns `true` if requests may be sent to it.
+    /// Returns `true` if requests may be sent to the target now.
     #[must_use]
     pub fn is_usable(&self, now: Tick) -> bool {
         self.is_willing(now) && self.closed_for(now).is_zero()
     }
 
-    /// Returns `true` if it accepts requests, whether a permit is available or not.
+    /// Returns `true` if the target accepts requests, whether a permit is available or not.
     #[must_use]
     pub fn is_willing(&self, now: Tick) -> bool {
         let is_in_service = self.is_current() && !self.is_evacuated && !self.is_leaving();
@@ -218,7 +218,7 @@
         self.is_evacuated
     }
 
-    /// Rate limit of its warm-up and the remaining time; `None` if it is warm.
+    /// Rate limit of its warm-up and the remaining time; `None` if the target is warm.
     #[must_use]
     pub fn warmup(&self, now: Tick) -> Option<(RateLimit, Duration)> {
         let limit = self.warmup_limit?;
@@ -239,22 +239,22 @@
         self.closed_until = if is_closed { self.closed_until.min(until) } else { until };
     }
 
-    /// Returns `true` if it is the current target of its address and the configuration names
+    /// Returns `true` if the target is the current one of its address and the configuration names
     /// its service.
     #[must_use]
     pub fn is_current(&self) -> bool {
         !self.is_superseded && self.is_configured
     }
 
-    /// Returns `true` if it accepts no new requests, by the list or by its own announcement.
-    /// The announcement is kept apart from the record, since only the record is passed on to
-    /// other entries.
+    /// Returns `true` if the target accepts no new requests, by the list or by its own
+    /// announcement. The announcement is kept apart from the record, since only the record is
+    /// passed on to other entries.
     #[must_use]
     pub fn is_leaving(&self) -> bool {
         self.record.is_leaving || self.announced.is_leaving
     }
 
-    /// Time for which it asks for back-off.
+    /// Time for which the target asks for back-off.
     #[must_use]
     pub fn backoff(&self, now: Tick) -> Duration {
         self.announced.backoff_until.since(now)
@@ -277,13 +277,13 @@
         (!self.is_leaving()).then(|| self.record.to_life())
     }
 
-    /// Returns `true` while it is ejected after failures.
+    /// Returns `true` while the target is ejected after failures.
     #[must_use]
     pub fn is_ejected(&self, now: Tick) -> bool {
         now < self.ejected_until
     }
 
-    /// Records a request that is sent to it.
+    /// Records a request that is sent to the target.
     pub fn note_sent(&mut self, now: Tick) {
         self.in_flight += 1;
         self.waiting_since.get_or_insert(now);
@@ -304,13 +304,13 @@
         self.waiting_since = (self.in_flight > 0).then_some(now);
     }
 
-    /// Time for which it has sent nothing although requests are pending.
+    /// Time for which the target has sent nothing although requests are pending.
     #[must_use]
     pub fn silence(&self, now: Tick) -> Duration {
         self.waiting_since.map_or(Duration::ZERO, |at| now.since(at))
     }
 
-    /// Records a request that it served.
+    /// Records a request that the target served.
     pub fn note_success(&mut self) {
         self.failures = 0;
         self.ejections = 0;
@@ -324,7 +324,7 @@
         now.since(since) >= CRASH_DELAY
     }
 
-    /// Records that its agent reports it as down.
+    /// Records that its agent reports the target as down.
     pub fn note_down(&mut self, now: Tick) {
         let is_alive = self.in_flight > 0 && now.since(self.heard_at) < ALIVE_WINDOW;
         if !is_alive {
