--- a/src/relay/discovery/follow_config.rs
+++ b/src/relay/discovery/follow_config.rs
@@ -8,7 +8,7 @@
 use super::list_share::NewsTeller;
 use super::proof_share::{PeerVerdict, ProofShare};
 use super::store_revision::StoreRevision;
-use super::watch_pace::{NEWS_STEP, WatchEnd, rest_after};
+use super::watch_pace::{NEWS_STEP, WatchEnd, delay_after};
 use crate::error::{Error, Result};
 use crate::relay::counts::StoreCall;
 use crate::relay::peers::config_copy::read_copy;
@@ -300,7 +300,7 @@
             }
         }
     };
-    tokio::time::sleep(rest_after(end, lasted)).await;
+    tokio::time::sleep(delay_after(end, lasted)).await;
     // Whatever the reason, only a read tells what holds now.
     shared.config_changed.notify_one();
 }
--- a/src/relay/discovery/follow_targets.rs
+++ b/src/relay/discovery/follow_targets.rs
@@ -8,7 +8,7 @@
 use super::feed::{PlatformFeed, TargetWatch};
 use super::list_share::{ListNews, NewsTeller};
 use super::store_revision::StoreRevision;
-use super::watch_pace::{LONGEST_WAIT, list_rest};
+use super::watch_pace::{MAX_WATCH_WAIT, list_rest};
 use crate::relay::core::target_list::WatchedChanges;
 use crate::relay::counts::StoreCall;
 use crate::relay::peers::load_note::LoadNote;
@@ -143,7 +143,7 @@
                 // It was under way while the store came back from a copy.
                 return None;
             }
-            let is_after_outage = now.since(heard_at) > LONGEST_WAIT + OUTAGE;
+            let is_after_outage = now.since(heard_at) > MAX_WATCH_WAIT + OUTAGE;
             let is_after_outage = is_after_outage || shared.was_away(now);
             shared.log.entries_unreadable(&list.unreadable, now);
             let (change, news) =
--- a/src/relay/discovery/mod.rs
+++ b/src/relay/discovery/mod.rs
@@ -1,12 +1,13 @@
-//! What a process knows of its platform, and how current that is.
+//! Discovery: what a process learns from the platform's store, and how current that is.
 //!
-//! - [`feed`]: how the platform's store is read, and [`store_revision`]: up to where,
-//! - `follow_config`, `follow_targets`: when and what for,
-//! - `follow_quarantine`: what entries put there,
-//! - [`watch_pace`]: how long its watches wait,
-//! - [`rules`]: what a configuration allows, and to whom,
-//! - [`freshness`]: whether that is known to be current,
-//! - [`proof_share`], [`list_share`], [`config_share`], [`config_delta`]: how entries learn from one another.
+//! - [`feed`]: the operations on the platform's store, and [`store_revision`]: its revisions,
+//! - `follow_config`, `follow_targets`: the tasks that read and watch the store,
+//! - `follow_quarantine`: the task that writes the quarantine to the store,
+//! - [`watch_pace`]: how long watches wait and how often they are repeated,
+//! - [`rules`]: what a configuration permits, and for which callers,
+//! - [`freshness`]: whether the configuration is proven current,
+//! - [`proof_share`], [`list_share`], [`config_share`], [`config_delta`]: how entries exchange
+//!   these facts.
 
 pub mod config_delta;
 pub mod config_share;
--- a/src/relay/discovery/proof_share.rs
+++ b/src/relay/discovery/proof_share.rs
@@ -1,19 +1,18 @@
-//! One proof for many: an entry takes over the proof of another one.
+//! Shared proofs: an entry adopts another entry's proof that its configuration is current.
 //!
-//! The load that it answers: hundreds of entries, each of which asked the store
-//! every few seconds for the same answer, so that the calls grew with the fleet and
-//! came in a herd after an outage.
+//! If each of hundreds of entries asks the store for the same answer every few seconds, the calls
+//! grow with the fleet and come all at once after an outage.
 //!
-//! An entry that asks another one at its own time `s`, and hears "all changes up to
-//! revision R were known `a` ago", knows that its own configuration was current at
-//! `s - a`, where it has revision R or a later one: the answer was made after the
-//! question, so the proof is at least that new, whatever the network or a pause did
-//! in between. Only steady clocks are compared, each with itself.
+//! An entry that sends a query at its own time `s` and receives the answer "all changes up to
+//! revision R were known `a` ago" knows that its configuration was current at `s - a`, if it has
+//! revision R or a later one. The answer was made after the query, so the proof is at least that
+//! new, whatever delays the network or a pause adds. Only monotonic clocks are compared, each with
+//! itself.
 //!
-//! Nobody is chosen to read the store. Each entry looks for a newer proof at a
-//! random part of its lease, and reads for itself where it finds none. An entry that
-//! the store turns away serves on by the proofs of others for as long as it has the
-//! configuration that they prove.
+//! There is no election of the entry that reads the store. Each entry looks for a newer proof at a
+//! random fraction of its lease, and reads the store itself if it finds none. An entry that the
+//! store turns away keeps serving by the proofs of others for as long as it has the configuration
+//! that they prove.
 
 use std::net::SocketAddr;
 use std::ops::Range;
@@ -24,23 +23,23 @@
 use super::store_revision::StoreRevision;
 use crate::time::Tick;
 
-/// Part of a lease after which a newer proof is looked for, at random. Entries that
-/// share a proof look at different moments, and the first of them reads the store
-/// for the others. At the upper end a read that takes a second and fails leaves time
-/// for another one, with leases of five seconds.
-const REFRESH_PART: Range<f64> = 0.42..0.67;
+/// Fraction of a lease after which an entry looks for a newer proof, drawn at random. Entries that
+/// share a proof look at different moments, and the first of them reads the store for the others.
+/// At the upper end, with leases of five seconds, a read that takes a second and fails leaves time
+/// for another one.
+const REFRESH_FRACTION: Range<f64> = 0.42..0.67;
 
-/// How much newer a proof has to be, so that it lasts for a while.
-const LEAST_GAIN: Duration = Duration::from_millis(700);
+/// How much newer a proof has to be to be worth a query.
+const MIN_GAIN: Duration = Duration::from_millis(700);
 
-/// Entries of a fleet that ask a store which does not answer, each time that an entry
-/// alone would ask it. The others hear of its return from these.
-const PROBES: f64 = 16.0;
+/// Number of entries of the fleet that probe a store that does not answer, each time a single entry
+/// would. The others learn of its return from these.
+const PROBING_ENTRIES: f64 = 16.0;
 
-/// What another entry says of its proof.
+/// What another entry states about its proof.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerProof {
-    /// The question that it answers.
+    /// The query that it answers.
     pub nonce: u64,
     /// Revision of its configuration.
     pub revision: StoreRevision,
@@ -53,17 +52,17 @@
 }
 
 impl PeerProof {
-    /// Failure domains that were out of service then.
+    /// Returns the failure domains that were out of service then.
     #[must_use]
     pub fn to_evacuations(&self) -> EvacuationList {
         EvacuationList { domains: self.evacuated.clone(), epoch: self.revision.epoch }
     }
 }
 
-/// What another entry has proven of a later configuration, by this one's clock.
+/// Another entry's proof of a configuration later than the local one, by the local clock.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct TakenProof {
-    /// When.
+pub struct AdoptedProof {
+    /// When it was proven.
     pub proven_at: Tick,
     /// Digest of that configuration.
     pub config_digest: u64,
@@ -74,100 +73,100 @@
 /// What a proof of another entry is worth.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerVerdict {
-    /// The own configuration was current at that moment.
+    /// The local configuration was current at that moment.
     ProvenAt(Tick),
-    /// The other one knows a later configuration: the store is to be read, or the
-    /// other's copy of it.
+    /// The other entry has a later configuration: this entry has to read the store, or that entry's
+    /// copy.
     Behind,
-    /// It answers no question of this entry, or is older than this process.
+    /// It answers no open query of this entry, or is older than this process.
     Useless,
 }
 
 #[derive(Debug)]
 struct ProofSource {
     address: SocketAddr,
-    /// About when it proved its configuration: good enough to choose by.
+    /// Approximate time of its proof, which suffices to choose by.
     proven_at: Tick,
 }
 
 #[derive(Debug)]
-struct OpenQuestion {
+struct OpenQuery {
     nonce: u64,
     sent_at: Tick,
 }
 
-/// Whose proof this entry may take over, and what it has asked.
+/// The entry with the best known proof, and the open query.
 #[derive(Debug, Default)]
 pub struct ProofShare {
     best: Option<ProofSource>,
-    question: Option<OpenQuestion>,
-    /// A proof of a later configuration than the own one.
+    query: Option<OpenQuery>,
+    /// A proof of a later configuration than the local one.
     ahead: Option<AheadProof>,
 }
 
 #[derive(Debug)]
 struct AheadProof {
     revision: StoreRevision,
-    proof: TakenProof,
+    proof: AdoptedProof,
 }
 
 impl ProofShare {
-    /// Age at which a proof is to be renewed that lasts for `span`.
+    /// Returns the age at which a proof that lasts for `duration` is to be renewed.
     #[must_use]
-    pub fn refresh_age(span: Duration) -> Duration {
-        span.mul_f64(rand::random_range(REFRESH_PART))
+    pub fn refresh_age(duration: Duration) -> Duration {
+        duration.mul_f64(rand::random_range(REFRESH_FRACTION))
     }
 
-    /// Returns true where a store that did not answer is to be asked again now, by a
-    /// throw from 0 to 1: hundreds of entries that all ask are a load of their own, and
-    /// hear of its return from one another.
+    /// Returns `true` if this entry probes a store that did not answer, by `jitter` from 0 to 1:
+    /// probes of hundreds of entries are a load in themselves, and entries learn of the store's
+    /// return from one another.
     #[must_use]
-    pub fn probes(entries: usize, throw: f64) -> bool {
-        throw * entries as f64 <= PROBES
+    pub fn probes(entries: usize, jitter: f64) -> bool {
+        jitter * entries as f64 <= PROBING_ENTRIES
     }
 
-    /// Notes that the entry at `address` is said to have proven its configuration
-    /// at about `proven_at`.
+    /// Records an agent's report that the entry at `address` proved its configuration at about
+    /// `proven_at`.
     pub fn note_source(&mut self, address: SocketAddr, proven_at: Tick) {
         if self.best.as_ref().is_none_or(|best| best.proven_at < proven_at) {
             self.best = Some(ProofSource { address, proven_at });
         }
     }
 
-    /// The entry to be asked where its proof is enough newer than the own one. It
-    /// is asked once: what is known of it has to be heard anew after that.
+    /// Returns the entry to query, if its proof is sufficiently newer than the local one. It is
+    /// queried once: then its proof has to be reported anew.
     pub fn ask(&mut self, nonce: u64, proven_at: Tick, now: Tick) -> Option<SocketAddr> {
-        let best = self.best.take().filter(|best| best.proven_at >= proven_at + LEAST_GAIN)?;
-        self.question = Some(OpenQuestion { nonce, sent_at: now });
+        let best = self.best.take().filter(|best| best.proven_at >= proven_at + MIN_GAIN)?;
+        self.query = Some(OpenQuery { nonce, sent_at: now });
         Some(best.address)
     }
 
-    /// Takes an answer. `revision` is that of the own configuration.
+    /// Applies an answer. `revision` is that of the local configuration.
     pub fn take_answer(&mut self, proof: &PeerProof, revision: StoreRevision) -> PeerVerdict {
-        let question = self.question.take_if(|question| question.nonce == proof.nonce);
-        let Some(question) = question else { return PeerVerdict::Useless };
+        let query = self.query.take_if(|query| query.nonce == proof.nonce);
+        let Some(query) = query else { return PeerVerdict::Useless };
         // Ticks count from the start of the process.
-        if Tick::default() + proof.age > question.sent_at {
+        if Tick::default() + proof.age > query.sent_at {
             return PeerVerdict::Useless;
         }
-        let proven_at = question.sent_at - proof.age;
-        // What was current before the store came back from a copy says nothing of what is now.
+        let proven_at = query.sent_at - proof.age;
+        // A proof from before the store was restored from a backup says nothing about the present.
         if proof.revision.epoch < revision.epoch {
             return PeerVerdict::Useless;
         }
         if proof.revision > revision {
             let evacuations = proof.to_evacuations();
             let config_digest = proof.config_digest;
-            let ahead = TakenProof { proven_at, config_digest, evacuations };
+            let ahead = AdoptedProof { proven_at, config_digest, evacuations };
             self.ahead = Some(AheadProof { revision: proof.revision, proof: ahead });
             return PeerVerdict::Behind;
         }
         PeerVerdict::ProvenAt(proven_at)
     }
 
-    /// What proves a configuration of `revision`, which has come since, by an answer to an
-    /// earlier question.
-    pub fn take_ahead(&mut self, revision: StoreRevision) -> Option<TakenProof> {
+    /// Returns the proof of a configuration of `revision`, which arrived after the answer to the
+    /// earlier query.
+    pub fn take_ahead(&mut self, revision: StoreRevision) -> Option<AdoptedProof> {
         let ahead = self.ahead.take_if(|ahead| ahead.revision <= revision)?;
         Some(ahead.proof)
     }
--- a/src/relay/discovery/store_revision.rs
+++ b/src/relay/discovery/store_revision.rs
@@ -2,8 +2,8 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A revision, with the epoch of the store that gave it out. A store that is back from an old
-/// copy begins a new epoch and gives out the same numbers again.
+/// A revision with the epoch of the store that issued it. A store that is restored from a backup
+/// begins a new epoch and issues the same numbers again.
 ///
 /// # Example
 ///
@@ -29,23 +29,23 @@
 )]
 #[display("{epoch}/{number}")]
 pub struct StoreRevision {
-    /// Times that the store came back from a copy.
+    /// Number of times that the store was restored from a backup.
     #[serde(rename = "e")]
     pub epoch: u64,
-    /// Changes since its beginning, as far as the copy knew them.
+    /// Number of changes since the store was created, as far as the backup included them.
     #[serde(rename = "n")]
     pub number: u64,
 }
 
 impl StoreRevision {
-    /// Returns true where nothing was read yet.
+    /// Returns `true` if nothing was read yet.
     #[must_use]
     pub fn is_unknown(self) -> bool {
         self == StoreRevision::default()
     }
 
-    /// Returns true where a store that came back from a copy shows a revision that was given
-    /// out before.
+    /// Returns `true` if this is `former` as shown by a store that was restored from a backup
+    /// since.
     #[must_use]
     pub fn is_copy_of(self, former: StoreRevision) -> bool {
         self.epoch > former.epoch && self.number == former.number
--- a/tests/relay/watch_pace.rs
+++ b/tests/relay/watch_pace.rs
@@ -1,7 +1,7 @@
 //! How long watches of the store wait.
 
 use shalelane::relay::discovery::watch_pace::{
-    NEWS_STEP, WatchEnd, list_rest, rest_after, watch_wait,
+    NEWS_STEP, WatchEnd, delay_after, list_rest, watch_wait,
 };
 
 use crate::fixture::{check, ms};
@@ -18,14 +18,14 @@
 
 #[test]
 fn a_watch_that_waited_and_was_forgotten_is_followed_by_a_read_at_once() {
-    assert!(rest_after(WatchEnd::Forgotten, ms(15_000)).is_zero());
+    assert!(delay_after(WatchEnd::Forgotten, ms(15_000)).is_zero());
 }
 
 #[test]
 fn watches_that_end_again_and_again_do_not_ask_in_a_loop() {
-    assert_eq!(rest_after(WatchEnd::Forgotten, ms(4)), NEWS_STEP);
-    assert_eq!(rest_after(WatchEnd::Failed, ms(4)), NEWS_STEP);
-    assert_eq!(rest_after(WatchEnd::Failed, ms(15_000)), NEWS_STEP);
+    assert_eq!(delay_after(WatchEnd::Forgotten, ms(4)), NEWS_STEP);
+    assert_eq!(delay_after(WatchEnd::Failed, ms(4)), NEWS_STEP);
+    assert_eq!(delay_after(WatchEnd::Failed, ms(15_000)), NEWS_STEP);
 }
 
 /// A fleet that starts as one: targets are listed one after the other for two seconds, and
