--- a/src/relay/discovery/config_delta.rs
+++ b/src/relay/discovery/config_delta.rs
@@ -1,4 +1,4 @@
-//! What changed from one configuration to another, as entries tell one another.
+//! Differences between two configurations, as entries exchange them.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,24 +12,24 @@
 /// Host and path prefix of a route.
 type RouteKey = (Arc<str>, Arc<str>);
 
-/// Changes of items that have a key each. They say what holds after them, so they lead there
-/// from each state on their way.
+/// Changes of keyed items. They hold final values, so they lead to the same result from each
+/// intermediate state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct ItemChanges<K, T> {
     /// Items that are new or changed.
     #[serde(rename = "p")]
     put: Vec<T>,
-    /// Keys of items that are gone.
+    /// Keys of items that were removed.
     #[serde(rename = "r")]
     removed: Vec<K>,
 }
 
 impl<K: Ord, T: Clone + PartialEq> ItemChanges<K, T> {
     fn between(old: &[T], new: &[T], key: fn(&T) -> K) -> Self {
-        let mut rest: BTreeMap<K, &T> = old.iter().map(|item| (key(item), item)).collect();
-        let is_changed = |item: &&T| rest.remove(&key(item)) != Some(*item);
+        let mut remaining: BTreeMap<K, &T> = old.iter().map(|item| (key(item), item)).collect();
+        let is_changed = |item: &&T| remaining.remove(&key(item)) != Some(*item);
         let put = new.iter().filter(is_changed).cloned().collect();
-        ItemChanges { put, removed: rest.into_keys().collect() }
+        ItemChanges { put, removed: remaining.into_keys().collect() }
     }
 
     fn apply(&self, items: &[T], key: fn(&T) -> K) -> Vec<T> {
@@ -55,10 +55,10 @@
 /// What changed from one revision of the configuration to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ConfigDelta {
-    /// It leads on from this revision, and from each later one.
+    /// Earliest revision that it applies to; it applies to each later one as well.
     #[serde(rename = "s")]
     pub since: StoreRevision,
-    /// It leads to this revision.
+    /// Revision that it leads to.
     #[serde(rename = "m")]
     pub mark: StoreRevision,
     #[serde(rename = "v")]
@@ -76,7 +76,7 @@
 }
 
 impl ConfigDelta {
-    /// What changed from `old`, of revision `since`, to `new`, of revision `mark`.
+    /// Computes the changes from `old`, of revision `since`, to `new`, of revision `mark`.
     #[must_use]
     pub fn between(
         old: &RelayConfig,
@@ -96,7 +96,7 @@
         }
     }
 
-    /// The configuration that it leads to from `base`.
+    /// Returns the configuration that results from applying the changes to `base`.
     #[must_use]
     pub fn apply(&self, base: &RelayConfig) -> RelayConfig {
         RelayConfig {
--- a/src/relay/discovery/feed.rs
+++ b/src/relay/discovery/feed.rs
@@ -1,5 +1,5 @@
-//! How the platform's store is read, which the adapter says. When and what for
-//! is decided in `follow`.
+//! The operations on the platform's store, which its adapter implements. The `follow_*` modules
+//! decide when and why they are called.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,31 +18,31 @@
 pub struct ConfigRead {
     /// Revision of the object.
     pub revision: StoreRevision,
-    /// Revision of the whole store up to which this is true.
+    /// Revision of the whole store as of which this is current.
     pub store_revision: StoreRevision,
-    /// The configuration, none where the revision is the one that is known.
+    /// The configuration, `None` if its revision is the known one.
     pub config: Option<RelayConfig>,
-    /// Why notes that stand beside it can not be read.
+    /// Why quarantine records beside the configuration can not be read.
     pub unreadable: Vec<String>,
 }
 
-/// A change of the configuration that a watch told of.
+/// A change of the configuration that a watch reported.
 #[derive(Debug)]
 pub struct ConfigNews {
     /// Revision of the object.
     pub revision: StoreRevision,
     /// The configuration.
     pub config: RelayConfig,
-    /// Why notes that stand beside it can not be read.
+    /// Why quarantine records beside the configuration can not be read.
     pub unreadable: Vec<String>,
 }
 
-/// What a watch of the configuration brought.
+/// The answer to a watch of the configuration.
 #[derive(Debug)]
 pub enum ConfigWatch {
     /// The newest change, if any, up to a revision of the store.
     Changes(Option<Box<ConfigNews>>, StoreRevision),
-    /// The store has forgotten changes since then: it is to be read anew.
+    /// The store has forgotten changes since the start position: it has to be read again.
     Forgotten,
 }
 
@@ -51,25 +51,25 @@
 pub struct EvacuationList {
     /// Their names.
     pub domains: Vec<Arc<str>>,
-    /// Epoch of the store that gave them out.
+    /// Epoch of the store that returned them.
     pub epoch: u64,
 }
 
-/// A read of the whole list of targets.
+/// A read of the whole target list.
 #[derive(Debug, Default)]
 pub struct TargetList {
     /// All targets.
     pub records: Vec<TargetRecord>,
-    /// Revision up to which this is true.
+    /// Revision as of which this is current.
     pub revision: StoreRevision,
-    /// Revision of the last change of one of them.
+    /// Revision of the last change of one of the targets.
     pub changed_at: StoreRevision,
-    /// Entries that list no target: others than targets may write there.
+    /// Store entries that describe no target: other programs may write there.
     pub unreadable: Vec<UnreadableEntry>,
 }
 
 impl TargetList {
-    /// A list that is true up to a revision, and empty so far.
+    /// Creates a list that is current as of a revision, and empty so far.
     #[must_use]
     pub fn new(revision: StoreRevision) -> Self {
         let changed_at = StoreRevision { number: 0, ..revision };
@@ -77,36 +77,37 @@
     }
 }
 
-/// An entry of the list that can not be read.
+/// A store entry of the list that can not be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnreadableEntry {
-    /// Its name, where that can be read.
+    /// Its name, if that can be read.
     pub name: Option<Arc<str>>,
-    /// Why, in a few words.
+    /// The reason, in a few words.
     pub why: String,
 }
 
-/// What a watch of the list told.
+/// The answer to a watch of the list.
 #[derive(Debug)]
 pub struct TargetNews {
-    /// What happened, in order, and at which revision.
+    /// The events in order, each with its revision.
     pub events: Vec<(StoreRevision, TargetEvent)>,
-    /// Revision to go on from.
+    /// Revision to continue from.
     pub revision: StoreRevision,
 }
 
-/// What happened to one entry of the list.
+/// What happened to one store entry of the list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum TargetEvent {
-    /// It changed, or is gone.
+    /// It changed, or was removed.
     Changed(TargetChange),
     /// It can not be read any more.
     Unreadable(UnreadableEntry),
 }
 
 impl TargetNews {
-    /// Splits it into what it changes, and at which revision, and the entries that can not be
-    /// read. Such an entry lists no target, so one that was listed under its name is gone.
+    /// Splits the answer into changes, each with its revision, and the store entries that can not
+    /// be read. Such an entry describes no target, so a target that was listed under its name is
+    /// removed.
     #[must_use]
     pub fn into_changes(self) -> (Vec<(StoreRevision, TargetChange)>, Vec<UnreadableEntry>) {
         let (mut changes, mut unreadable) = (Vec::new(), Vec::new());
@@ -124,16 +125,16 @@
     }
 }
 
-/// How a write ended that holds only at the revision that was known.
+/// The result of a write that is conditional on the known revision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteEnd {
     /// It is done, and the object has this revision.
     Done(StoreRevision),
-    /// The object has another revision: it is to be read anew.
+    /// The object has another revision: it has to be read again.
     Conflict,
 }
 
-/// One change of the list.
+/// One change of the target list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum TargetChange {
     /// A target is new or changed.
@@ -144,31 +145,31 @@
     Removed(Arc<str>),
 }
 
-/// What a watch brought.
+/// The answer to a watch of the target list.
 #[derive(Debug)]
 pub enum TargetWatch {
-    /// What changed.
+    /// The changes.
     Changes(TargetNews),
-    /// The store has forgotten changes since then: the list is to be read anew.
+    /// The store has forgotten changes since the start position: the list has to be read again.
     Forgotten,
 }
 
-type Call<T> = LocalBoxFuture<'static, Result<T>>;
+type StoreFuture<T> = LocalBoxFuture<'static, Result<T>>;
 
-/// How the platform's store is read.
+/// The operations on the platform's store.
 pub struct PlatformFeed {
-    /// Reads the configuration linearizably; the argument is the revision that
-    /// is known. None where there is no configuration yet.
-    pub read_config: Box<dyn Fn(StoreRevision) -> Call<Option<ConfigRead>>>,
+    /// Reads the configuration linearizably; the argument is the known revision. Returns `None` if
+    /// there is no configuration yet.
+    pub read_config: Box<dyn Fn(StoreRevision) -> StoreFuture<Option<ConfigRead>>>,
     /// Reads linearizably which failure domains are out of service.
-    pub read_evacuations: Box<dyn Fn() -> Call<EvacuationList>>,
-    /// Reads the whole list of targets linearizably.
-    pub list_targets: Box<dyn Fn() -> Call<TargetList>>,
-    /// Waits until the configuration has changed after a revision of the store,
-    /// or the time is up.
-    pub watch_config: Box<dyn Fn(StoreRevision, Duration) -> Call<ConfigWatch>>,
-    /// Waits for changes of the list after a revision.
-    pub watch_targets: Box<dyn Fn(StoreRevision, Duration) -> Call<TargetWatch>>,
-    /// Writes which requests are held back, beside the configuration of a revision.
-    pub write_quarantine: Box<dyn Fn(StoreRevision, Vec<QuarantineRecord>) -> Call<WriteEnd>>,
+    pub read_evacuations: Box<dyn Fn() -> StoreFuture<EvacuationList>>,
+    /// Reads the whole target list linearizably.
+    pub list_targets: Box<dyn Fn() -> StoreFuture<TargetList>>,
+    /// Waits until the configuration has changed after a revision of the store, or the time is up.
+    pub watch_config: Box<dyn Fn(StoreRevision, Duration) -> StoreFuture<ConfigWatch>>,
+    /// Waits for changes of the target list after a revision.
+    pub watch_targets: Box<dyn Fn(StoreRevision, Duration) -> StoreFuture<TargetWatch>>,
+    /// Writes the quarantined requests, beside the configuration of a revision.
+    pub write_quarantine:
+        Box<dyn Fn(StoreRevision, Vec<QuarantineRecord>) -> StoreFuture<WriteEnd>>,
 }
--- a/src/relay/discovery/follow_config.rs
+++ b/src/relay/discovery/follow_config.rs
@@ -1,4 +1,4 @@
-//! Follows the configuration: when it is read, and how it is proven current.
+//! Follows the configuration: reads and watches it, and keeps it proven current.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -16,170 +16,172 @@
 use crate::relay::shared::RelayShared;
 use crate::time::Tick;
 
-/// Longest wait for agents that are asked who has the newest proof, and for the
-/// entry that has it: some round trips between failure domains.
-const PEER_WAIT: Duration = Duration::from_millis(40);
+/// Longest wait for the answers of agents that are asked for the newest proof, and for the entry
+/// that has it: some round trips between failure domains.
+const PEER_TIMEOUT: Duration = Duration::from_millis(40);
 
-/// Time between two reads while the store does not answer: short against the
-/// time for which a proof holds, long against the price of each.
-const RETRY_STEP: Duration = Duration::from_millis(400);
+/// Delay between two reads while the store does not answer: short compared to the duration of a
+/// proof, long compared to the cost of each read.
+const RETRY_DELAY: Duration = Duration::from_millis(400);
 
-/// Time between two reads while others prove the configuration for this entry. It hears
-/// of no change meanwhile, and has to within the bound for changes once the store is
-/// back: reads are well under that, and well over the price of each.
-const TURNED_AWAY_STEP: Duration = Duration::from_secs(1);
+/// Interval between two reads while others prove the configuration for this entry. This entry
+/// learns of no change meanwhile, and has to within the bound for changes once the store is back:
+/// the interval is well under that bound, and long enough that the reads stay cheap.
+const TURNED_AWAY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Follows the configuration for as long as the process runs.
-pub(crate) async fn follow_config(shared: Rc<RelayShared>, feed: Rc<PlatformFeed>) {
-    let mut is_there = true;
-    let mut watching: Option<ConfigWatcher> = None;
+pub(crate) async fn follow_config(shared: Rc<RelayShared>, source: Rc<PlatformFeed>) {
+    let mut is_reachable = true;
+    let mut watcher: Option<ConfigWatcher> = None;
     loop {
-        // A watch that has ended, or is one of the store before it came back from a copy,
-        // begins anew with a read.
+        // If the watch has ended, or belongs to the store before it was restored from a backup, a
+        // read comes first.
         let is_watcher = shared.core.borrow().list_share().is_watching();
-        watching = watching.filter(|watch| is_watcher && watch.is_open(&shared));
-        let is_heard = watching.is_some() || !is_watcher;
-        let may_share = is_there && is_heard && shared.knows_config(shared.now());
-        if may_share && ask_peers(&shared).await == PeerEnd::Proven {
+        watcher = watcher.filter(|watch| is_watcher && watch.is_open(&shared));
+        let has_updates = watcher.is_some() || !is_watcher;
+        let may_share = is_reachable && has_updates && shared.knows_config(shared.now());
+        if may_share && query_peers(&shared).await == ProofQueryResult::Proven {
             let due = next_refresh(&shared);
-            take_news_until(&shared, due).await;
+            apply_updates_until(&shared, due).await;
             continue;
         }
         let sent_at = shared.now();
-        let read = match read_proof(&shared, &feed).await {
+        let read = match read_proof(&shared, &source).await {
             Ok(read) => read,
             Err(error) => {
-                note_lost(&shared, is_there, &error);
-                is_there = false;
-                // Where only this entry is turned away, others prove for it.
-                if is_proven_without_store(&shared).await {
-                    tokio::time::sleep(TURNED_AWAY_STEP).await;
+                record_lost_store(&shared, is_reachable, &error);
+                is_reachable = false;
+                // If only this entry is turned away, others prove the configuration for it.
+                if renew_proof_from_peers(&shared).await {
+                    tokio::time::sleep(TURNED_AWAY_INTERVAL).await;
                 } else {
                     wait_for_store(&shared).await;
                 }
                 continue;
             }
         };
-        if !is_there {
+        if !is_reachable {
             shared.log.dependency("store", true, "");
-            // What a watch heard during the outage can not be relied on, and its
-            // connection may hang.
+            // What a watch reported during the outage is not reliable, and its connection may hang.
             shared.outages.send_modify(|count| *count += 1);
-            watching = None;
+            watcher = None;
         }
-        is_there = true;
-        // Without a configuration there is nothing to obey yet: nothing is
-        // proven, and nobody is let in.
+        is_reachable = true;
+        // Without a configuration there are no rules yet: nothing is proven, and no request is
+        // admitted.
         if let Some(read) = read {
-            let begins_at = read.store_revision;
-            shared.note_epoch(begins_at.epoch);
-            // A watch that did not tell of a change may be deaf.
-            let is_deaf = read.config.is_some();
+            let starts_at = read.store_revision;
+            shared.note_epoch(starts_at.epoch);
+            // A watch that did not report this change may have a hung connection.
+            let is_hung = read.config.is_some();
             shared.take_read(read, sent_at);
-            tell_change(&shared);
+            announce_change(&shared);
             shared.tell_suspects();
             shared.note_started();
-            watching = watching.filter(|watch| watch.is_open(&shared) && !is_deaf);
+            watcher = watcher.filter(|watch| watch.is_open(&shared) && !is_hung);
             if shared.core.borrow().list_share().is_watching() {
-                watching.get_or_insert_with(|| ConfigWatcher::start(&shared, &feed, begins_at));
+                watcher.get_or_insert_with(|| ConfigWatcher::start(&shared, &source, starts_at));
             }
         }
-        // Others need not read what has just been read here.
+        // Lets other entries adopt this proof instead of reading the store.
         shared.link.announce(&shared.core.borrow(), shared.now());
-        take_news_until(&shared, next_refresh(&shared)).await;
+        apply_updates_until(&shared, next_refresh(&shared)).await;
     }
 }
 
-/// Reads the configuration, and which failure domains are out of service: one proof holds for
-/// both. The domains are taken here, the configuration is returned.
+/// Reads the configuration and which failure domains are out of service: one proof covers both.
+/// Applies the domains and returns the configuration.
 pub(super) async fn read_proof(
     shared: &RelayShared,
-    feed: &PlatformFeed,
+    source: &PlatformFeed,
 ) -> Result<Option<ConfigRead>> {
     let sent_at = shared.now();
     let known = {
         let core = shared.core.borrow();
-        // What another entry told is to be compared with the store's.
+        // An update from another entry is compared with the store's configuration.
         if core.is_config_confirmed() { core.config_revision() } else { StoreRevision::default() }
     };
-    let reading = (feed.read_config)(known);
+    let reading = (source.read_config)(known);
     if shared.core.borrow().limits().evacuate_bound.is_none() {
         let read = reading.await;
         shared.counts.borrow().note_store_call(StoreCall::ConfigRead);
         return read;
     }
-    let (read, list) = tokio::join!(reading, (feed.read_evacuations)());
+    let (read, list) = tokio::join!(reading, (source.read_evacuations)());
     shared.counts.borrow().note_store_call(StoreCall::ConfigRead);
     shared.counts.borrow().note_store_call(StoreCall::EvacuationRead);
     let (read, list) = (read?, list?);
     if read.as_ref().is_some_and(|read| read.store_revision.epoch != list.epoch) {
-        return Err(Error::from_answer(200, "the store came back from a copy meanwhile"));
+        return Err(Error::from_answer(
+            200,
+            "the store was restored from a backup during the read",
+        ));
     }
     shared.take_evacuations(list, sent_at);
     Ok(read)
 }
 
-/// Waits until the store is to be asked again: by this entry for others, or since
-/// another one has reached it.
+/// Waits until this entry has to call the store again: as one of the probing entries, or because
+/// another entry has reached it.
 async fn wait_for_store(shared: &RelayShared) {
     loop {
-        tokio::time::sleep(RETRY_STEP).await;
+        tokio::time::sleep(RETRY_DELAY).await;
         shared.away_at.set(Some(shared.now()));
-        if shared.core.borrow().probes_store() || is_proven_without_store(shared).await {
+        if shared.core.borrow().probes_store() || renew_proof_from_peers(shared).await {
             return;
         }
     }
 }
 
-/// When the proof is to be renewed.
+/// Returns when the proof is to be renewed.
 fn next_refresh(shared: &RelayShared) -> Tick {
     let core = shared.core.borrow();
     if core.is_store_behind() {
-        // A read proves nothing until the configuration is written again, which the watch
-        // tells: 45 reads in two seconds without this step (one entry, test by processes).
-        return shared.now() + TURNED_AWAY_STEP;
+        // A read proves nothing until the configuration is written again, which the watch reports.
+        // Without this interval one entry made 45 reads in two seconds.
+        return shared.now() + TURNED_AWAY_INTERVAL;
     }
     let lease = core.lease();
     lease.proven_at().unwrap_or(shared.now()) + ProofShare::refresh_age(lease.span())
 }
 
-/// How it ended to ask another entry for its proof.
+/// The result of querying another entry for its proof.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum PeerEnd {
-    /// It renewed the own one.
+enum ProofQueryResult {
+    /// The answer renewed the local proof.
     Proven,
-    /// The entry there has a later configuration.
+    /// The entry at this address has a later configuration.
     Behind(SocketAddr),
-    /// Nobody is known who has a newer one, or there was no answer.
-    Nobody,
+    /// No entry with a newer proof is known, or there was no answer.
+    NoProof,
 }
 
-/// Asks the entry that is said to have the newest proof.
-async fn ask_peers(shared: &RelayShared) -> PeerEnd {
+/// Queries the entry that is reported to have the newest proof.
+async fn query_peers(shared: &RelayShared) -> ProofQueryResult {
     shared.link.ask_around(&shared.core.borrow(), shared.now());
-    tokio::time::sleep(PEER_WAIT).await;
-    let question = shared.core.borrow_mut().ask_proof(shared.now());
-    let Some((address, question)) = question else { return PeerEnd::Nobody };
+    tokio::time::sleep(PEER_TIMEOUT).await;
+    let query = shared.core.borrow_mut().ask_proof(shared.now());
+    let Some((address, query)) = query else { return ProofQueryResult::NoProof };
     shared.peer_verdict.set(PeerVerdict::Useless);
-    shared.link.send_to(address, &question);
-    // Where nobody answers, the store is read.
-    drop(tokio::time::timeout(PEER_WAIT, shared.proof_told.notified()).await);
+    shared.link.send_to(address, &query);
+    // Without an answer the store is read.
+    drop(tokio::time::timeout(PEER_TIMEOUT, shared.proof_told.notified()).await);
     match shared.peer_verdict.get() {
         PeerVerdict::ProvenAt(_) => {
             shared.counts.borrow_mut().shared_proofs += 1;
-            PeerEnd::Proven
+            ProofQueryResult::Proven
         }
-        PeerVerdict::Behind => PeerEnd::Behind(address),
-        PeerVerdict::Useless => PeerEnd::Nobody,
+        PeerVerdict::Behind => ProofQueryResult::Behind(address),
+        PeerVerdict::Useless => ProofQueryResult::NoProof,
     }
 }
 
 /// Renews the proof through other entries while the store turns this one away.
-async fn is_proven_without_store(shared: &RelayShared) -> bool {
-    let entry = match ask_peers(shared).await {
-        PeerEnd::Proven => return true,
-        PeerEnd::Behind(entry) => entry,
-        PeerEnd::Nobody => return false,
+async fn renew_proof_from_peers(shared: &RelayShared) -> bool {
+    let entry = match query_peers(shared).await {
+        ProofQueryResult::Proven => return true,
+        ProofQueryResult::Behind(entry) => entry,
+        ProofQueryResult::NoProof => return false,
     };
     match read_copy(shared, entry).await {
         Ok(copy) => {
@@ -199,51 +201,50 @@
     }
 }
 
-/// Takes what the watch tells until the next read is due, or the watch has
-/// nothing more to tell.
-async fn take_news_until(shared: &RelayShared, due: Tick) {
+/// Applies the updates of the watch until the next read is due, or the watch has ended.
+async fn apply_updates_until(shared: &RelayShared, due: Tick) {
     loop {
         let rest = due.since(shared.now());
         if tokio::time::timeout(rest, shared.config_changed.notified()).await.is_err() {
             return;
         }
-        let news = shared.config_news.borrow_mut().take();
-        let Some(news) = news else { return };
-        shared.log.notes_unreadable(&news.unreadable, shared.now());
+        let update = shared.config_news.borrow_mut().take();
+        let Some(update) = update else { return };
+        shared.log.notes_unreadable(&update.unreadable, shared.now());
         let mut core = shared.core.borrow_mut();
-        if core.take_news(*news, shared.now()) {
+        if core.take_news(*update, shared.now()) {
             shared.log.config_changed(core.rules().version());
         }
         drop(core);
-        tell_change(shared);
+        announce_change(shared);
         shared.tell_suspects();
     }
 }
 
-/// Tells others what the store has told this entry, where it is one of those who watch for
-/// them.
-fn tell_change(shared: &RelayShared) {
+/// Sends the last change from the store to other entries, if this entry is a watcher that announces
+/// changes.
+fn announce_change(shared: &RelayShared) {
     let delta = shared.core.borrow_mut().take_config_change();
     let core = shared.core.borrow();
     let share = core.list_share();
-    let is_told = share.is_watching() && share.tells(rand::random());
-    let Some(delta) = delta.filter(|_| is_told) else { return };
-    if !shared.link.tell_others(&core, &LoadNote::ConfigChanged(Box::new(delta)), NewsTeller::Joint)
+    let is_announcer = share.is_watching() && share.tells(rand::random());
+    let Some(delta) = delta.filter(|_| is_announcer) else { return };
+    if !shared.link.broadcast(&core, &LoadNote::ConfigChanged(Box::new(delta)), NewsTeller::Joint)
     {
-        slog::debug!(shared.log.logger(), "change of the configuration too long to be told");
+        slog::debug!(shared.log.logger(), "configuration update too long to be announced");
     }
 }
 
 /// A watch of the configuration, which ends when this is dropped.
 struct ConfigWatcher {
     task: tokio::task::JoinHandle<()>,
-    /// Epoch of the store in which it began.
+    /// Epoch of the store in which it started.
     epoch: u64,
 }
 
 impl ConfigWatcher {
-    fn start(shared: &Rc<RelayShared>, feed: &Rc<PlatformFeed>, after: StoreRevision) -> Self {
-        let task = tokio::task::spawn_local(watch_config(shared.clone(), feed.clone(), after));
+    fn start(shared: &Rc<RelayShared>, source: &Rc<PlatformFeed>, after: StoreRevision) -> Self {
+        let task = tokio::task::spawn_local(watch_config(shared.clone(), source.clone(), after));
         ConfigWatcher { task, epoch: after.epoch }
     }
 
@@ -258,49 +259,49 @@
     }
 }
 
-fn note_lost(shared: &RelayShared, was_there: bool, error: &crate::Error) {
+fn record_lost_store(shared: &RelayShared, was_reachable: bool, error: &crate::Error) {
     shared.counts.borrow_mut().store_failures += 1;
     shared.away_at.set(Some(shared.now()));
     shared.note_turned_away();
-    if was_there {
+    if was_reachable {
         shared.log.dependency("store", false, &error.to_string());
     }
 }
 
-/// Tells of changes of the configuration until the store does not answer or
-/// has forgotten what happened. A watch that brings nothing proves nothing.
+/// Passes on changes of the configuration until the store does not answer or has forgotten its
+/// history. A watch that ends without a change proves nothing.
 async fn watch_config(
     shared: Rc<RelayShared>,
-    feed: Rc<PlatformFeed>,
+    source: Rc<PlatformFeed>,
     mut revision: StoreRevision,
 ) {
-    let (end, lasted) = loop {
-        let begun = shared.now();
-        let result = (feed.watch_config)(revision, shared.watch_wait()).await;
+    let (reason, lasted) = loop {
+        let started_at = shared.now();
+        let result = (source.watch_config)(revision, shared.watch_wait()).await;
         shared.counts.borrow().note_store_call(StoreCall::ConfigWatch);
         match result {
             Ok(ConfigWatch::Changes(_, next)) if next.epoch != revision.epoch => {
                 shared.note_epoch(next.epoch);
-                break (WatchEnd::Forgotten, shared.now().since(begun));
+                break (WatchEnd::Forgotten, shared.now().since(started_at));
             }
-            Ok(ConfigWatch::Changes(news, next)) => {
+            Ok(ConfigWatch::Changes(update, next)) => {
                 revision = next;
-                if news.is_some() {
-                    *shared.config_news.borrow_mut() = news;
+                if update.is_some() {
+                    *shared.config_news.borrow_mut() = update;
                     shared.config_changed.notify_one();
                     tokio::time::sleep(NEWS_STEP).await;
                 }
             }
             Ok(ConfigWatch::Forgotten) => {
-                break (WatchEnd::Forgotten, shared.now().since(begun));
+                break (WatchEnd::Forgotten, shared.now().since(started_at));
             }
             Err(error) => {
                 shared.log.dependency("configuration watch", false, &error.to_string());
-                break (WatchEnd::Failed, shared.now().since(begun));
+                break (WatchEnd::Failed, shared.now().since(started_at));
             }
         }
     };
-    tokio::time::sleep(delay_after(end, lasted)).await;
-    // Whatever the reason, only a read tells what holds now.
+    tokio::time::sleep(delay_after(reason, lasted)).await;
+    // Whatever the reason, only a read shows the present state.
     shared.config_changed.notify_one();
 }
--- a/src/relay/discovery/follow_targets.rs
+++ b/src/relay/discovery/follow_targets.rs
@@ -1,4 +1,4 @@
-//! Follows the list of targets: by an own watch, or by the news of others.
+//! Follows the target list: by a watch of the store, or by the updates of other entries.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,47 +15,47 @@
 use crate::relay::shared::RelayShared;
 use crate::time::Tick;
 
-/// Longest time after which the list is read again while the store is away;
-/// the read of the configuration, which is tried more often, ends the wait.
-const LIST_RETRY: Duration = Duration::from_secs(1);
+/// Longest delay before the list is read again while the store is unreachable; the read of the
+/// configuration, which is tried more often, can end the delay early.
+const LIST_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Time without an answer after which entries of the list may have lapsed.
-const OUTAGE: Duration = Duration::from_millis(1_500);
+/// Time without an answer after which entries of the list may have expired.
+const OUTAGE_THRESHOLD: Duration = Duration::from_millis(1_500);
 
-/// Longest wait for changes that were missed: they are there already.
-const CATCH_UP_WAIT: Duration = Duration::from_millis(20);
+/// Longest wait for missed changes: they are already in the store.
+const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// Longest time in which the store tells a watch that waits of a change.
-const TELL_SPAN: Duration = Duration::from_millis(100);
+/// Longest time in which the store reports a change to a waiting watch.
+const REPORT_DELAY: Duration = Duration::from_millis(100);
 
-/// Up to where the list is known.
+/// Position up to which the list is known.
 #[derive(Clone, Copy, Debug)]
 struct ListPosition {
     /// Revision to watch from.
     revision: StoreRevision,
-    /// An earlier one, after which the list did not change until then: news lead on from
-    /// there, so that who knows no later revision takes them as well.
-    mark: StoreRevision,
-    /// When the store was heard of last to have nothing later: what comes next was taken
-    /// after that.
+    /// An earlier revision, after which the list did not change up to `revision`. Updates start
+    /// from it, so that entries that know no later revision apply them as well.
+    unchanged_since: StoreRevision,
+    /// When the store last showed that nothing later existed: the next change was written after
+    /// that.
     known_at: Tick,
 }
 
-/// Follows the list of targets for as long as the process runs.
-pub(crate) async fn follow_targets(shared: Rc<RelayShared>, feed: Rc<PlatformFeed>) {
-    let mut heard_at = shared.now();
-    let mut known_at = heard_at;
+/// Follows the target list for as long as the process runs.
+pub(crate) async fn follow_targets(shared: Rc<RelayShared>, source: Rc<PlatformFeed>) {
+    let mut received_at = shared.now();
+    let mut known_at = received_at;
     let mut outages = shared.outages.subscribe();
     loop {
         outages.mark_unchanged();
-        let Some(mut position) = read_list(&shared, &feed, heard_at, known_at).await else {
+        let Some(mut position) = read_list(&shared, &source, received_at, known_at).await else {
             wait_for_list(&shared, &mut outages).await;
             continue;
         };
         loop {
-            (heard_at, known_at) = (shared.now(), position.known_at);
+            (received_at, known_at) = (shared.now(), position.known_at);
             let next = tokio::select! {
-                next = hear_once(&shared, &feed, position) => next,
+                next = receive_changes(&shared, &source, position) => next,
                 // The connection of the watch may hang since an outage.
                 _ = outages.changed() => None,
             };
@@ -68,71 +68,71 @@
 /// Waits until the list is to be read again after a failure.
 async fn wait_for_list(shared: &RelayShared, outages: &mut watch::Receiver<u64>) {
     loop {
-        let told = tokio::time::timeout(LIST_RETRY, outages.changed()).await;
-        if told.is_ok() || shared.core.borrow().probes_store() {
+        let ended = tokio::time::timeout(LIST_RETRY_DELAY, outages.changed()).await;
+        if ended.is_ok() || shared.core.borrow().probes_store() {
             return;
         }
     }
 }
 
-/// Hears of changes for a while, by an own watch or by the news of others. Returns
-/// the next position, none where the list has to be read anew.
-async fn hear_once(
+/// Receives changes for a while, by a watch of the store or by the updates of others. Returns the
+/// next position, `None` if the list has to be read again.
+async fn receive_changes(
     shared: &RelayShared,
-    feed: &PlatformFeed,
+    source: &PlatformFeed,
     position: ListPosition,
 ) -> Option<ListPosition> {
     let is_watching = shared.core.borrow().list_share().is_watching();
-    let watching = async {
+    let watch = async {
         if is_watching {
-            return watch_once(shared, feed, position).await;
+            return watch_once(shared, source, position).await;
         }
         std::future::pending().await
     };
     tokio::select! {
-        next = watching => next,
+        next = watch => next,
         () = shared.list_due.notified() => {
             let is_behind = shared.core.borrow().list_share().is_behind(shared.now());
-            // All up to the mark is known.
+            // All changes up to this revision are known.
             let next = {
                 let core = shared.core.borrow();
                 let revision = position.revision.max(core.list_share().known());
-                let mark = position.mark.max(core.list_share().mark());
-                ListPosition { revision, mark, ..position }
+                let unchanged_since = position.unchanged_since.max(core.list_share().mark());
+                ListPosition { revision, unchanged_since, ..position }
             };
             match (is_behind, is_watching) {
                 (false, _) => Some(next),
-                // The own watch is silent.
+                // The watch of this entry hangs.
                 (true, true) => None,
-                (true, false) => catch_up(shared, feed, next).await,
+                (true, false) => catch_up(shared, source, next).await,
             }
         }
     }
 }
 
-/// Asks the store once for what this entry has missed: one call, where the whole list takes one
-/// for each page. Returns the next position, none where the list has to be read anew.
+/// Asks the store once for what this entry has missed: one call, while the whole list takes one for
+/// each page. Returns the next position, `None` if the list has to be read again.
 async fn catch_up(
     shared: &RelayShared,
-    feed: &PlatformFeed,
+    source: &PlatformFeed,
     position: ListPosition,
 ) -> Option<ListPosition> {
-    let next = watch_for(shared, feed, position, CATCH_UP_WAIT).await?;
-    // What had happened before would have been told at once.
+    let next = watch_for(shared, source, position, CATCH_UP_TIMEOUT).await?;
+    // Earlier changes would have been returned at once.
     shared.core.borrow_mut().note_caught_up(next.revision);
     let is_behind = shared.core.borrow().list_share().is_behind(shared.now());
     (!is_behind).then_some(next)
 }
 
-/// Reads the whole list. Returns up to where it is known, none where that failed.
+/// Reads the whole list. Returns the position up to which it is known, `None` if that failed.
 async fn read_list(
     shared: &RelayShared,
-    feed: &PlatformFeed,
-    heard_at: Tick,
+    source: &PlatformFeed,
+    received_at: Tick,
     known_at: Tick,
 ) -> Option<ListPosition> {
     let sent_at = shared.now();
-    let result = (feed.list_targets)().await;
+    let result = (source.list_targets)().await;
     shared.counts.borrow().note_store_call(StoreCall::ListRead);
     let now = shared.now();
     match result {
@@ -140,20 +140,20 @@
             let revision = list.revision;
             shared.note_epoch(revision.epoch);
             if revision.epoch < shared.core.borrow().store_epoch() {
-                // It was under way while the store came back from a copy.
+                // The read was under way while the store was restored from a backup.
                 return None;
             }
-            let is_after_outage = now.since(heard_at) > MAX_WATCH_WAIT + OUTAGE;
+            let is_after_outage = now.since(received_at) > MAX_WATCH_WAIT + OUTAGE_THRESHOLD;
             let is_after_outage = is_after_outage || shared.was_away(now);
             shared.log.entries_unreadable(&list.unreadable, now);
-            let (change, news) =
+            let (change, update) =
                 shared.core.borrow_mut().take_reread(list, is_after_outage, known_at, now);
             shared.log.targets_changed(&change);
             shared.note_started();
-            if let Some(news) = news {
-                tell_others(shared, news);
+            if let Some(update) = update {
+                announce_update(shared, update);
             }
-            Some(ListPosition { revision, mark: revision, known_at: sent_at })
+            Some(ListPosition { revision, unchanged_since: revision, known_at: sent_at })
         }
         Err(error) => {
             shared.away_at.set(Some(now));
@@ -165,54 +165,55 @@
     }
 }
 
-/// Waits for one answer of a watch. Returns the next position, none where the
-/// list has to be read anew.
+/// Waits for one answer of a watch. Returns the next position, `None` if the list has to be read
+/// again.
 async fn watch_once(
     shared: &RelayShared,
-    feed: &PlatformFeed,
+    source: &PlatformFeed,
     position: ListPosition,
 ) -> Option<ListPosition> {
-    watch_for(shared, feed, position, shared.watch_wait()).await
+    watch_for(shared, source, position, shared.watch_wait()).await
 }
 
 async fn watch_for(
     shared: &RelayShared,
-    feed: &PlatformFeed,
+    source: &PlatformFeed,
     position: ListPosition,
     wait: Duration,
 ) -> Option<ListPosition> {
-    let ListPosition { revision, mark, known_at } = position;
-    let begun = shared.now();
-    let result = (feed.watch_targets)(revision, wait).await;
+    let ListPosition { revision, unchanged_since, known_at } = position;
+    let started_at = shared.now();
+    let result = (source.watch_targets)(revision, wait).await;
     shared.counts.borrow().note_store_call(StoreCall::ListWatch);
     match result {
-        Ok(TargetWatch::Changes(news)) if news.revision.epoch != revision.epoch => {
-            shared.note_epoch(news.revision.epoch);
+        Ok(TargetWatch::Changes(update)) if update.revision.epoch != revision.epoch => {
+            shared.note_epoch(update.revision.epoch);
             None
         }
-        Ok(TargetWatch::Changes(news)) => {
+        Ok(TargetWatch::Changes(update)) => {
             let now = shared.now();
-            let next = news.revision;
-            let (changes, unreadable) = news.into_changes();
+            let next = update.revision;
+            let (changes, unreadable) = update.into_changes();
             shared.log.entries_unreadable(&unreadable, now);
-            let away = shared.was_away(now);
-            // What is told at once may be older than the watch.
-            let is_late = now.since(begun) > TELL_SPAN;
-            let known_at = if is_late { now - TELL_SPAN } else { known_at };
+            let is_after_outage = shared.was_away(now);
+            // A change that is reported at once may be older than the watch.
+            let is_late = now.since(started_at) > REPORT_DELAY;
+            let known_at = if is_late { now - REPORT_DELAY } else { known_at };
             let is_changed = !changes.is_empty();
-            let watched = WatchedChanges { changes, since: mark, mark: next, known_at };
-            let (change, news) = shared.core.borrow_mut().take_watched(watched, away, now);
+            let watched = WatchedChanges { changes, since: unchanged_since, mark: next, known_at };
+            let (change, update) =
+                shared.core.borrow_mut().take_watched(watched, is_after_outage, now);
             shared.log.targets_changed(&change);
-            // Most entries of a large fleet watch no more once they know its targets.
+            // Most entries of a large fleet stop watching once they know its targets.
             follow_list_share(shared, now);
-            if let Some(news) = news {
-                tell_others(shared, news);
+            if let Some(update) = update {
+                announce_update(shared, update);
             }
             if is_changed {
-                tokio::time::sleep(watch_step(shared, now)).await;
+                tokio::time::sleep(watch_delay(shared, now)).await;
             }
-            let mark = if is_changed { next } else { mark };
-            Some(ListPosition { revision: next, mark, known_at: now })
+            let unchanged_since = if is_changed { next } else { unchanged_since };
+            Some(ListPosition { revision: next, unchanged_since, known_at: now })
         }
         Ok(TargetWatch::Forgotten) => None,
         Err(error) => {
@@ -222,29 +223,29 @@
     }
 }
 
-/// Tells others of changes, where this entry is one of those who watch for them.
-fn tell_others(shared: &RelayShared, news: ListNews) {
+/// Sends changes to other entries, if this entry is a watcher that announces changes.
+fn announce_update(shared: &RelayShared, update: ListNews) {
     let mut core = shared.core.borrow_mut();
     let share = core.list_share();
     if !share.is_watching() || !share.tells(rand::random()) {
         return;
     }
-    let (count, mark) = (news.changes.len(), news.mark);
-    // Others may rest, and hear of it later.
-    if !shared.link.tell_others(&core, &LoadNote::ListChanged(news), NewsTeller::Alone) {
-        slog::debug!(shared.log.logger(), "changes of the list too many to be told"; "changes" => count);
+    let (count, revision) = (update.changes.len(), update.mark);
+    // Others may wait between two answers, and would see the change later.
+    if !shared.link.broadcast(&core, &LoadNote::ListChanged(update), NewsTeller::Alone) {
+        slog::debug!(shared.log.logger(), "target list update too long to be announced"; "changes" => count);
     }
-    core.note_list_announced(mark);
+    core.note_list_announced(revision);
 }
 
-/// Time until the next answer of the watch is asked for.
-fn watch_step(shared: &RelayShared, now: Tick) -> Duration {
+/// Returns the delay before the next answer of the watch is requested.
+fn watch_delay(shared: &RelayShared, now: Tick) -> Duration {
     // Ticks count from the start of the process.
     list_rest(now.since(Tick::default()), shared.core.borrow().limits().drain_bound)
 }
 
-/// Decides whether this entry watches for others, and tells the tasks that follow the store
-/// what they have to do differently.
+/// Decides whether this entry watches for others, and wakes the tasks that follow the store if they
+/// have to act on it.
 pub(crate) fn follow_list_share(shared: &RelayShared, now: Tick) {
     let mut core = shared.core.borrow_mut();
     let is_changed = core.decide_watching(now);
--- a/src/relay/discovery/rules.rs
+++ b/src/relay/discovery/rules.rs
@@ -1,5 +1,4 @@
-//! What a configuration says of routes, services and client accounts, in the
-//! form that the relay decides by.
+//! The routes, services and client accounts of a configuration, in the form that the relay uses.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -19,12 +18,12 @@
     Repeatable,
     /// At most one target may run it.
     Once,
-    /// An event stream that another target may continue after any event.
+    /// Its answer is an event stream, which another target may continue after any event.
     Resumable,
 }
 
 impl RepeatRule {
-    /// Returns true where a second target may run the request.
+    /// Returns `true` if a second target may run the request.
     #[must_use]
     pub fn is_repeatable(self) -> bool {
         self != RepeatRule::Once
@@ -36,51 +35,51 @@
 pub struct WeightedService {
     /// Name of the service.
     pub service: Arc<str>,
-    /// Share against the other services of the route.
+    /// Weight relative to the other services of the route.
     pub weight: u32,
 }
 
-/// A route: which requests it takes and what they may do.
+/// A route: which requests it matches, and how they are handled.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RouteRule {
     /// Host name of the request.
     pub host: Arc<str>,
-    /// Beginning of the path, with a slash at both ends.
+    /// Prefix of the path, with a slash at both ends.
     pub path_prefix: Arc<str>,
     /// Whether a request may be sent again.
     pub repeat: RepeatRule,
-    /// True where the answer is a stream of events.
+    /// Whether the answer is a stream of events.
     pub is_stream: bool,
     /// Longest time for an answer, from the request's arrival.
     pub time_limit: Duration,
-    /// Time for the whole answer, or for the first event of a stream.
+    /// Latency objective: time for the whole answer, or for the first event of a stream.
     pub objective: Duration,
-    /// Longest pause between events that is still in time.
+    /// Longest pause between events that still meets the objective.
     pub longest_pause: Duration,
     /// Services that serve it.
     pub services: Vec<WeightedService>,
-    /// Most targets that one request may be sent to.
+    /// Maximum number of targets that one request may be sent to.
     pub max_targets: usize,
-    /// True where no key is asked for.
+    /// Whether requests need no key.
     pub is_public: bool,
     /// Regions in which its requests may run, empty for all.
     #[serde(default)]
     pub regions: Vec<Arc<str>>,
 }
 
-/// A service: targets that can stand in for one another.
+/// A service: interchangeable targets.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServiceRule {
     /// Name of the service.
     pub name: Arc<str>,
-    /// How its engines work, none for a plain service.
+    /// Performance of its engines, `None` for a plain service.
     pub engine: Option<Rc<EngineRates>>,
-    /// What its targets take while they are cold, none where that is nothing special.
+    /// What its targets accept while they are cold, `None` if there is no special rule.
     #[serde(default)]
     pub warmup: Option<WarmupRule>,
 }
 
-/// A client account and the keys it may use.
+/// A client account and its keys.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AccountRule {
     /// Name of the account.
@@ -92,21 +91,21 @@
     pub regions: Vec<Arc<str>>,
 }
 
-/// Bounds on what a caller may send.
+/// Limits on what a caller may send.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// Largest head of a request, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub max_head: usize,
-    /// Largest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body: usize,
     /// Longest time for a head to arrive.
     pub head_limit: Duration,
-    /// Longest rest of a connection between two requests.
+    /// Longest idle time of a connection between two requests.
     pub idle_limit: Duration,
 }
 
 impl Default for CallerLimits {
-    /// What holds until a configuration is known.
+    /// The limits that apply until a configuration is known.
     fn default() -> Self {
         CallerLimits {
             max_head: 16 * 1024,
@@ -120,62 +119,63 @@
 /// A whole configuration as the relay reads it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RelayConfig {
-    /// Version, which only grows.
+    /// Version, which only increases.
     pub version: u64,
     /// All routes.
     pub routes: Vec<RouteRule>,
     /// All services.
     pub services: Vec<ServiceRule>,
-    /// All client accounts; without any, no route asks for a key.
+    /// All client accounts; if there are none, no route asks for a key.
     pub accounts: Vec<AccountRule>,
-    /// Bounds on what callers send.
+    /// Limits on what callers send.
     pub limits: CallerLimits,
-    /// Requests that are held back, which the entries note beside the configuration.
+    /// Quarantined requests, which the entries write beside the configuration.
     #[serde(default)]
     pub quarantine: Vec<QuarantineRecord>,
 }
 
 impl RelayConfig {
-    /// A number that two configurations share only where they hold the same, in any order.
+    /// Returns a hash that two configurations share only if they have the same content, in any
+    /// order.
     #[must_use]
     pub fn digest(&self) -> u64 {
-        let routes = self.routes.iter().map(hash_of);
-        let services = self.services.iter().map(hash_of);
-        let accounts = self.accounts.iter().map(hash_of);
-        let rest = hash_of(&(self.version, self.limits, &self.quarantine));
+        let routes = self.routes.iter().map(hash_item);
+        let services = self.services.iter().map(hash_item);
+        let accounts = self.accounts.iter().map(hash_item);
+        let rest = hash_item(&(self.version, self.limits, &self.quarantine));
         routes.chain(services).chain(accounts).fold(rest, u64::wrapping_add)
     }
 }
 
-fn hash_of(item: &impl Serialize) -> u64 {
+fn hash_item(item: &impl Serialize) -> u64 {
     let mut bytes = Vec::new();
-    // What an adapter decodes can be encoded; an item that could not would be left out alike
-    // at all entries.
+    // An adapter decodes only items that can be encoded; an item that could not would be left out
+    // of the hash at all entries alike.
     drop(ciborium::into_writer(item, &mut bytes));
     xxhash_rust::xxh3::xxh3_64(&bytes)
 }
 
-/// Why a request is not let in.
+/// Why a request is not admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AccessFault {
-    /// No route takes this host and path.
+    /// No route matches this host and path.
     NoRoute,
-    /// The key is missing or not known.
+    /// The key is missing or unknown.
     BadKey,
 }
 
-/// What a request was found to be.
+/// The route and account of an admitted request.
 #[derive(Clone, Debug)]
 pub struct Access {
     /// Its route.
     pub route: Rc<RouteRule>,
-    /// The account that its key belongs to, none on a public route.
+    /// The account that its key belongs to, `None` on a public route.
     pub account: Option<Rc<AccountRule>>,
 }
 
 impl Access {
-    /// Returns true where its targets may be in a region, none for one that is not known:
-    /// both the route and the account bind.
+    /// Returns `true` if its targets may be in a region, `None` for an unknown one: the
+    /// restrictions of the route and of the account both apply.
     #[must_use]
     pub fn permits_region(&self, region: Option<&str>) -> bool {
         let account = self.account.as_ref().map_or(&[][..], |account| &account.regions);
@@ -184,7 +184,7 @@
         })
     }
 
-    /// Returns true where its targets may be anywhere.
+    /// Returns `true` if its targets may be in any region.
     #[must_use]
     pub fn permits_all_regions(&self) -> bool {
         let account = self.account.as_ref().is_none_or(|account| account.regions.is_empty());
@@ -228,25 +228,25 @@
         table
     }
 
-    /// The version of the configuration.
+    /// Returns the version of the configuration.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Bounds on what callers send.
+    /// Returns the limits on what callers send.
     #[must_use]
     pub fn limits(&self) -> CallerLimits {
         self.limits
     }
 
-    /// Finds a service.
+    /// Returns the service of this name.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&ServiceRule> {
         self.services.get(name)
     }
 
-    /// All services.
+    /// Returns all services.
     pub fn services(&self) -> impl Iterator<Item = &ServiceRule> {
         self.services.values()
     }
@@ -255,7 +255,7 @@
     ///
     /// # Errors
     ///
-    /// No route takes it, or its key is not one of the configuration.
+    /// No route matches the request, or its key is not in the configuration.
     pub fn admit(&self, host: &str, path: &str, key: Option<&str>) -> Result<Access, AccessFault> {
         let route = self.find_route(host, path).ok_or(AccessFault::NoRoute)?;
         let account = key.and_then(|key| self.keys.get(key)).cloned();
@@ -265,7 +265,7 @@
         Ok(Access { route, account })
     }
 
-    /// The route with the longest prefix of `path`.
+    /// Returns the route with the longest prefix of `path`.
     fn find_route(&self, host: &str, path: &str) -> Option<Rc<RouteRule>> {
         let paths = self.hosts.get(host)?;
         let mut slashes = path.rmatch_indices('/').map(|(at, _)| at);
