--- a/src/relay/discovery/follow_config.rs
+++ b/src/relay/discovery/follow_config.rs
@@ -11,7 +11,7 @@
 use super::watch_pace::{NEWS_STEP, WatchEnd, delay_after};
 use crate::error::{Error, Result};
 use crate::relay::counts::StoreCall;
-use crate::relay::peers::config_copy::read_copy;
+use crate::relay::peers::config_copy::fetch_copy;
 use crate::relay::peers::load_note::LoadNote;
 use crate::relay::shared::RelayShared;
 use crate::time::Tick;
@@ -84,7 +84,7 @@
             }
         }
         // Lets other entries adopt this proof instead of reading the store.
-        shared.link.announce(&shared.core.borrow(), shared.now());
+        shared.link.send_subscriptions(&shared.core.borrow(), shared.now());
         apply_updates_until(&shared, next_refresh(&shared)).await;
     }
 }
@@ -158,7 +158,7 @@
 
 /// Queries the entry that is reported to have the newest proof.
 async fn query_peers(shared: &RelayShared) -> ProofQueryResult {
-    shared.link.ask_around(&shared.core.borrow(), shared.now());
+    shared.link.query_agents(&shared.core.borrow(), shared.now());
     tokio::time::sleep(PEER_TIMEOUT).await;
     let query = shared.core.borrow_mut().ask_proof(shared.now());
     let Some((address, query)) = query else { return ProofQueryResult::NoProof };
@@ -183,7 +183,7 @@
         ProofQueryResult::Behind(entry) => entry,
         ProofQueryResult::NoProof => return false,
     };
-    match read_copy(shared, entry).await {
+    match fetch_copy(shared, entry).await {
         Ok(copy) => {
             let mut core = shared.core.borrow_mut();
             if core.take_copy(&copy, shared.now()) {
@@ -229,8 +229,7 @@
     let share = core.list_share();
     let is_announcer = share.is_watching() && share.tells(rand::random());
     let Some(delta) = delta.filter(|_| is_announcer) else { return };
-    if !shared.link.broadcast(&core, &LoadNote::ConfigChanged(Box::new(delta)), NewsTeller::Joint)
-    {
+    if !shared.link.broadcast(&core, &LoadNote::ConfigChanged(Box::new(delta)), NewsTeller::Joint) {
         slog::debug!(shared.log.logger(), "configuration update too long to be announced");
     }
 }
--- a/src/relay/discovery/follow_targets.rs
+++ b/src/relay/discovery/follow_targets.rs
@@ -233,7 +233,8 @@
     let (count, revision) = (update.changes.len(), update.mark);
     // Others may wait between two answers, and would see the change later.
     if !shared.link.broadcast(&core, &LoadNote::ListChanged(update), NewsTeller::Alone) {
-        slog::debug!(shared.log.logger(), "target list update too long to be announced"; "changes" => count);
+        slog::debug!(shared.log.logger(), "target list update too long to be announced";
+            "changes" => count);
     }
     core.note_list_announced(revision);
 }
--- a/src/relay/peers/adviser.rs
+++ b/src/relay/peers/adviser.rs
@@ -1,5 +1,5 @@
-//! The agent's part of the relay: it tells entries what others give to the
-//! engine beside it, and how fast that engine is.
+//! The load coordinator of an agent: it relays the load that entries place on the engine beside it,
+//! and reports how fast that engine is.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use hyper::Request;
 use tokio::net::UdpSocket;
 
-use super::engine_watch::{EngineLook, EngineWatch, ReportEnd};
+use super::engine_watch::{EnginePoll, EngineWatch, ReportEnd};
 use super::load_note::{LoadNote, MAX_NOTE};
 use super::subscriber_set::{NoteOut, SubscriberSet};
 use crate::Result;
@@ -20,20 +20,20 @@
 use crate::relay::proxy::dialect::TargetDialect;
 use crate::relay::settings::AdviserSettings;
 
-/// How often the agent looks whether there is something to do, beside what comes in.
-const TICK_STEP: Duration = Duration::from_millis(400);
+/// Interval at which the agent checks for expired state, besides handling incoming messages.
+const EXPIRY_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Longest time for a report: the engine is on the same host.
-const REPORT_LIMIT: Duration = Duration::from_millis(300);
+const REPORT_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Runs an agent until `stop` ends.
 ///
 /// # Errors
 ///
-/// Its address can not be listened on.
+/// Its address can not be bound.
 pub async fn run_adviser(
     settings: AdviserSettings,
-    dialect: TargetDialect,
+    protocol: TargetDialect,
     logger: slog::Logger,
     stop: impl Future<Output = ()>,
 ) -> Result<()> {
@@ -41,16 +41,16 @@
     slog::info!(logger, "start"; "listen" => %settings.load_listen, "target" => %settings.target);
     let clock = ProcessClock::new();
     let client = HttpClient::new(1);
-    let mut set = SubscriberSet::default();
-    let mut watch = EngineWatch::default();
-    let mut looking: Fuse<LocalBoxFuture<'_, EngineLook>> = Fuse::terminated();
+    let mut subscribers = SubscriberSet::default();
+    let mut health = EngineWatch::default();
+    let mut polling: Fuse<LocalBoxFuture<'_, EnginePoll>> = Fuse::terminated();
     let mut buffer = [0; MAX_NOTE];
-    let mut ticks = tokio::time::interval(TICK_STEP);
+    let mut ticks = tokio::time::interval(EXPIRY_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    // Nothing of an agent's settings can change while it runs, and a signal
-    // that says so must not end it.
-    let hangups =
-        on_reload_signal(|| slog::info!(logger, "settings not reloaded: none can change"));
+    // None of an agent's settings can change while it runs, and a reload signal must not end it.
+    let hangups = on_reload_signal(|| {
+        slog::info!(logger, "settings not reloaded: an agent's settings can not change")
+    });
     tokio::pin!(stop);
     tokio::pin!(hangups);
     loop {
@@ -58,97 +58,98 @@
             () = &mut stop => break,
             () = &mut hangups => break,
             _ = ticks.tick() => {
-                send_all(&socket, set.expire(clock.now()));
+                send_all(&socket, subscribers.expire(clock.now()));
             }
-            look = &mut looking, if !looking.is_terminated() => {
-                let was_down = watch.is_down();
-                if let Some(born_ms) = look.born_ms {
-                    watch.note_born(born_ms);
+            poll = &mut polling, if !polling.is_terminated() => {
+                let was_down = health.is_down();
+                if let Some(started_ms) = poll.started_ms {
+                    health.note_born(started_ms);
                 }
-                if watch.note_report(look.end) {
-                    send_all(&socket, set.to_down());
+                if health.note_report(poll.result) {
+                    send_all(&socket, subscribers.to_down());
                 }
-                if let Some(exit) = watch.take_exit() {
-                    send_all(&socket, set.to_exited(exit.next_ms));
+                if let Some(exit) = health.take_exit() {
+                    send_all(&socket, subscribers.to_exited(exit.next_ms));
                 }
-                if watch.is_down() != was_down {
-                    slog::warn!(logger, "target"; "is_down" => watch.is_down());
+                if health.is_down() != was_down {
+                    slog::warn!(logger, "target"; "is_down" => health.is_down());
                 }
             }
             received = socket.recv_from(&mut buffer) => {
-                // A failed read is the echo of a datagram that nobody took.
+                // A failed read is the ICMP error for a datagram that no process received.
                 let Ok((length, from)) = received else { continue };
                 match LoadNote::from_bytes(&buffer[..length]) {
                     Ok(LoadNote::Suspect) => {
-                        if watch.note_suspicion(from, clock.now()) {
-                            send_all(&socket, set.to_down());
+                        if health.note_suspicion(from, clock.now()) {
+                            send_all(&socket, subscribers.to_down());
                         }
                     }
-                    Ok(note) => {
-                        let pace = watch.pace_percent();
-                        send_all(&socket, set.on_note(&note, from, pace, clock.now()));
+                    Ok(message) => {
+                        let pace = health.pace_percent();
+                        send_all(&socket, subscribers.on_note(&message, from, pace, clock.now()));
                     }
-                    Err(error) => slog::debug!(logger, "datagram left out"; "error" => %error),
+                    Err(error) => slog::debug!(logger, "invalid datagram ignored";
+                        "error" => %error),
                 }
             }
         }
-        watch.set_scarce(set.is_scarce());
-        if looking.is_terminated() && watch.is_due(set.is_busy(), clock.now()) {
-            let look = read_report(&client, &dialect, settings.target, &logger);
-            looking = look.boxed_local().fuse();
+        health.set_scarce(subscribers.is_scarce());
+        if polling.is_terminated() && health.is_due(subscribers.is_busy(), clock.now()) {
+            let poll = poll_report(&client, &protocol, settings.target, &logger);
+            polling = poll.boxed_local().fuse();
         }
     }
     slog::info!(logger, "stop");
     Ok(())
 }
 
-fn send_all(socket: &UdpSocket, notes: Vec<NoteOut>) {
-    for out in notes {
-        // A note that can not be sent now is worth nothing later.
+fn send_all(socket: &UdpSocket, messages: Vec<NoteOut>) {
+    for out in messages {
+        // A message that can not be sent now is worthless later.
         if let Ok(bytes) = out.note.to_bytes() {
             drop(socket.try_send_to(&bytes, out.to));
         }
     }
 }
 
-/// Looks at the engine's report.
-async fn read_report(
+/// Polls the engine's report.
+async fn poll_report(
     client: &HttpClient,
-    dialect: &TargetDialect,
+    protocol: &TargetDialect,
     target: SocketAddr,
     logger: &slog::Logger,
-) -> EngineLook {
+) -> EnginePoll {
     let mut request = Request::new(full(""));
-    let uri = format!("http://{target}{}", dialect.report_path);
+    let uri = format!("http://{target}{}", protocol.report_path);
     *request.uri_mut() = uri.parse().unwrap_or_default();
     let work = async {
         let response = client.send(request).await?;
         let body = response.into_body().collect().await;
         body.map_err(|error| CallFault::Unknown(error.to_string()))
     };
-    let body = match tokio::time::timeout(REPORT_LIMIT, work).await {
+    let body = match tokio::time::timeout(REPORT_TIMEOUT, work).await {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(CallFault::NotSent(error))) => {
-            slog::debug!(logger, "no report of the target"; "error" => error);
-            return EngineLook::without_report(ReportEnd::Refused);
+            slog::debug!(logger, "could not poll the target's report"; "error" => error);
+            return EnginePoll::without_report(ReportEnd::Refused);
         }
         Ok(Err(CallFault::Unknown(error))) => {
-            slog::warn!(logger, "no report of the target"; "error" => error);
-            return EngineLook::without_report(ReportEnd::Missed);
+            slog::warn!(logger, "could not poll the target's report"; "error" => error);
+            return EnginePoll::without_report(ReportEnd::Missed);
         }
         Err(elapsed) => {
-            slog::warn!(logger, "no report of the target"; "error" => %elapsed);
-            return EngineLook::without_report(ReportEnd::Missed);
+            slog::warn!(logger, "could not poll the target's report"; "error" => %elapsed);
+            return EnginePoll::without_report(ReportEnd::Missed);
         }
     };
-    match (dialect.parse_report)(&body) {
+    match (protocol.parse_report)(&body) {
         Ok(report) => {
-            let end = ReportEnd::Pace((report.pace * 100.0) as u32);
-            EngineLook { end, born_ms: report.born_ms }
+            let result = ReportEnd::Pace((report.pace * 100.0) as u32);
+            EnginePoll { result, started_ms: report.born_ms }
         }
         Err(error) => {
-            slog::warn!(logger, "report of the target not read"; "error" => %error);
-            EngineLook::without_report(ReportEnd::Missed)
+            slog::warn!(logger, "could not parse the target's report"; "error" => %error);
+            EnginePoll::without_report(ReportEnd::Missed)
         }
     }
 }
--- a/src/relay/peers/config_copy.rs
+++ b/src/relay/peers/config_copy.rs
@@ -1,11 +1,11 @@
-//! Copies of the configuration from entry to entry, for one that the store turns away.
+//! Copies of the configuration between entries, for an entry that the store turns away.
 //!
-//! The load that it answers: a store that serves a part of the fleet only, while the
-//! configuration changes. The entries that it turned away knew nothing of the change,
-//! refused whoever needs a key, and their callers came late to other entries.
+//! A store may serve only a part of the fleet while the configuration changes. Without a copy, the
+//! entries that it turns away do not learn of the change and reject requests that need a key, so
+//! that the callers reach other entries late.
 //!
-//! A copy proves nothing by itself. It is asked for when another entry has proven a
-//! later revision, and holds together with that proof.
+//! A copy proves nothing by itself. An entry requests it when another entry has proven a later
+//! revision, and applies it together with that proof.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -25,9 +25,9 @@
 /// Path of the copy at another entry.
 const COPY_PATH: &str = "/configuration";
 
-/// Longest time for a copy: some round trips, and time to encode a few hundred
-/// kilobytes on a small host.
-const COPY_LIMIT: Duration = Duration::from_millis(500);
+/// Longest time for a copy: some round trips, and time to encode a few hundred kilobytes on a small
+/// host.
+const COPY_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A configuration and its revision in the store.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -39,35 +39,38 @@
 }
 
 impl ConfigCopy {
-    /// The body of an answer.
+    /// Encodes the body of an answer.
     ///
     /// # Errors
     ///
-    /// It can not be encoded, which does not happen with what an adapter decodes.
+    /// The configuration can not be encoded, which does not happen with one that an adapter
+    /// decoded.
     pub fn to_bytes(&self) -> Result<Vec<u8>> {
         let mut bytes = Vec::new();
         ciborium::into_writer(self, &mut bytes)
-            .map_err(|_| Error::frame("configuration can not be encoded"))?;
+            .map_err(|_| Error::frame("could not encode a copy of the configuration"))?;
         Ok(bytes)
     }
 
-    /// Reads the body of an answer.
+    /// Decodes the body of an answer.
     ///
     /// # Errors
     ///
-    /// The bytes are no copy.
+    /// The bytes are not a valid copy.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self> {
-        ciborium::from_reader(bytes).map_err(|_| Error::frame("answer is no configuration"))
+        ciborium::from_reader(bytes)
+            .map_err(|_| Error::frame("invalid copy of the configuration from another entry"))
     }
 }
 
-/// Answers another entry.
+/// Answers another entry's request for a copy.
 pub(crate) fn answer_copy(shared: &RelayShared, path: &str) -> Response<Full<Bytes>> {
     let copy = shared.core.borrow().config_copy().filter(|_| path == COPY_PATH);
     let (status, body) = match copy.map(|copy| copy.to_bytes()) {
         Some(Ok(body)) => (StatusCode::OK, body),
         Some(Err(error)) => {
-            slog::warn!(shared.log.logger(), "copy not made"; "error" => %error);
+            slog::warn!(shared.log.logger(), "could not serve a copy of the configuration";
+                "error" => %error);
             (StatusCode::INTERNAL_SERVER_ERROR, Vec::new())
         }
         None => (StatusCode::NOT_FOUND, Vec::new()),
@@ -77,16 +80,16 @@
     response
 }
 
-/// Reads the copy of another entry.
+/// Requests the copy of another entry.
 ///
 /// # Errors
 ///
-/// It has none, or does not answer in time.
-pub(crate) async fn read_copy(shared: &RelayShared, entry: SocketAddr) -> Result<ConfigCopy> {
+/// The entry has no copy, or does not answer in time.
+pub(crate) async fn fetch_copy(shared: &RelayShared, entry: SocketAddr) -> Result<ConfigCopy> {
     let mut request = Request::new(full(""));
     let uri = format!("http://{entry}{COPY_PATH}");
     *request.uri_mut() = uri.parse().unwrap_or_default();
-    let response = shared.orders.call(request, COPY_LIMIT).await?;
+    let response = shared.orders.call(request, COPY_TIMEOUT).await?;
     if response.status() != StatusCode::OK {
         return Err(Error::from_answer(response.status().as_u16(), uri));
     }
--- a/src/relay/peers/engine_watch.rs
+++ b/src/relay/peers/engine_watch.rs
@@ -1,102 +1,102 @@
-//! Whether the engine beside an agent works, by its reports.
+//! Health of the engine beside an agent, from its reports.
 //!
-//! The load that it answers: engines that crash while prompts are read jointly. Each
-//! entry found each dead engine by requests of its own, several in a row, and used up
-//! the second attempts that a crash leaves it. The agent beside the engine knows
-//! within a report, and tells all. Where an engine reports and yet breaks off what it
-//! is sent, two entries that say so are enough: 30 entries had met five such engines
-//! 533 times in seven seconds, and 85 requests of all kinds had failed in the end.
+//! Engines may crash during sharded prefills. If each entry finds each dead engine by several
+//! failed requests in a row, it uses up the second attempts that are left for a crash. The agent
+//! beside the engine notices within one report interval, and informs all entries. If an engine
+//! reports and yet breaks off its requests, the suspicions of two entries suffice: without this
+//! rule 30 entries met five such engines 533 times in seven seconds, and 85 requests of all kinds
+//! failed in the end.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use crate::time::Tick;
 
-/// Time between two looks at the engine's report while it works, or is down.
-const REPORT_STEP: Duration = Duration::from_millis(400);
+/// Interval of polls of the engine's report while it is busy or down.
+const POLL_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Time between two looks at an engine that takes few requests: a look is one more.
-const SCARCE_STEP: Duration = Duration::from_secs(2);
+/// Interval of polls of a rate-limited engine: each poll counts against its rate.
+const RATE_LIMITED_POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Least time between two looks that entries ask for: some of them suspect an
-/// engine at the same moment.
-const SUSPECT_STEP: Duration = Duration::from_millis(100);
+/// Minimum delay between two polls that entries ask for: several may suspect an engine at the same
+/// moment.
+const SUSPECT_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Reports in a row that do not come in time and mean that the engine is down: a
-/// host that is slow for a moment may miss one.
-const LATE_REPORTS: u32 = 2;
+/// Number of missed reports in a row after which the engine counts as down: a host that is slow for
+/// a moment may miss one.
+const MIN_MISSED_REPORTS: u32 = 2;
 
-/// Entries that have to suspect an engine before all are told: one may have a broken
-/// link of its own.
+/// Number of entries that have to suspect an engine before all are informed: a single one may have
+/// a broken link.
 const SUSPECTING_ENTRIES: usize = 2;
 
-/// Time within which these suspicions have to come, which is also how long entries
-/// leave an engine alone when they are told.
-const SUSPICION_SPAN: Duration = Duration::from_secs(1);
+/// Time within which these suspicions have to arrive, which is also how long entries eject an
+/// engine after a report that it is down.
+const SUSPICION_WINDOW: Duration = Duration::from_secs(1);
 
-/// Looks in a row at which nobody listens and after which the engine has ended: one that
-/// has too many connections turns some away as well.
-const ENDED_LOOKS: u32 = 2;
+/// Number of polls in a row with a refused connection after which the engine counts as exited: an
+/// engine with too many connections refuses some as well.
+const MIN_REFUSED_POLLS: u32 = 2;
 
-/// Times that entries are told of a new life of the engine: a datagram may be lost.
-const LIFE_NOTES: u32 = 3;
+/// How often entries are informed of a new instance of the engine: a datagram may be lost.
+const INSTANCE_MESSAGES: u32 = 3;
 
 /// Pace of an engine that works as declared, in hundredths.
 const DECLARED_PACE: u32 = 100;
 
-/// How a look at the engine's report ended.
+/// The result of polling the engine's report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportEnd {
-    /// It reports this pace, in hundredths.
+    /// The engine reports this pace, in hundredths.
     Pace(u32),
-    /// Nobody listens there.
+    /// The connection was refused.
     Refused,
-    /// There was no report in time, or none that can be read.
+    /// There was no report in time, or it can not be read.
     Missed,
 }
 
-/// What a look at the engine's report brought.
+/// A poll of the engine's report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct EngineLook {
-    /// How it ended.
-    pub end: ReportEnd,
-    /// Start of the engine's life in Unix milliseconds, where it says so.
-    pub born_ms: Option<u64>,
+pub struct EnginePoll {
+    /// Its result.
+    pub result: ReportEnd,
+    /// Start time of the engine's instance in Unix milliseconds, if reported.
+    pub started_ms: Option<u64>,
 }
 
-impl EngineLook {
-    /// A look that brought no report.
+impl EnginePoll {
+    /// Creates a poll that brought no report.
     #[must_use]
-    pub fn without_report(end: ReportEnd) -> Self {
-        EngineLook { end, born_ms: None }
+    pub fn without_report(result: ReportEnd) -> Self {
+        EnginePoll { result, started_ms: None }
     }
 }
 
-/// The end of a life of the engine.
+/// An exit of the engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineExit {
-    /// Start of the life that follows in Unix milliseconds, where there is one.
+    /// Start time of the next instance in Unix milliseconds, if there is one.
     pub next_ms: Option<u64>,
 }
 
-/// What an agent knows of its engine.
+/// Health of an engine, as its agent knows it.
 #[derive(Debug)]
 pub struct EngineWatch {
     pace_percent: u32,
     missed: u32,
     refused: u32,
-    /// Start of the engine's life, in Unix milliseconds.
-    born_ms: Option<u64>,
-    life_notes_left: u32,
+    /// Start time of the engine's instance, in Unix milliseconds.
+    started_ms: Option<u64>,
+    instance_messages_left: u32,
     is_down: bool,
-    /// Whether the engine takes few requests.
-    is_scarce: bool,
-    looked_at: Option<Tick>,
+    /// Whether the engine is rate-limited.
+    is_rate_limited: bool,
+    polled_at: Option<Tick>,
     is_suspected: bool,
-    /// Who suspected the engine lately, and when last.
+    /// Entries that recently suspected the engine, with the time of their last suspicion.
     suspicions: Vec<(SocketAddr, Tick)>,
-    /// When all were told of suspicions.
-    told_at: Option<Tick>,
+    /// When all entries were last informed of suspicions.
+    informed_at: Option<Tick>,
 }
 
 impl Default for EngineWatch {
@@ -105,91 +105,91 @@
             pace_percent: DECLARED_PACE,
             missed: 0,
             refused: 0,
-            born_ms: None,
-            life_notes_left: 0,
+            started_ms: None,
+            instance_messages_left: 0,
             is_down: false,
-            is_scarce: false,
-            looked_at: None,
+            is_rate_limited: false,
+            polled_at: None,
             is_suspected: false,
             suspicions: Vec::new(),
-            told_at: None,
+            informed_at: None,
         }
     }
 }
 
 impl EngineWatch {
-    /// How much slower than declared the engine works, in hundredths.
+    /// Returns how much slower than declared the engine works, in hundredths.
     #[must_use]
     pub fn pace_percent(&self) -> u32 {
         self.pace_percent
     }
 
-    /// Returns true while the engine is down.
+    /// Returns `true` while the engine is down.
     #[must_use]
     pub fn is_down(&self) -> bool {
         self.is_down
     }
 
-    /// Notes whether the engine takes few requests.
-    pub fn set_scarce(&mut self, is_scarce: bool) {
-        self.is_scarce = is_scarce;
+    /// Sets whether the engine is rate-limited.
+    pub fn set_scarce(&mut self, is_rate_limited: bool) {
+        self.is_rate_limited = is_rate_limited;
     }
 
-    /// Notes that the entry at `from` suspects the engine. Returns true where all
-    /// entries are to be told that it is down, since others suspect it as well.
+    /// Records that the entry at `from` suspects the engine. Returns `true` if all entries are to
+    /// be informed that it is down, since others suspect it as well.
     pub fn note_suspicion(&mut self, from: SocketAddr, now: Tick) -> bool {
         self.is_suspected = true;
-        self.suspicions.retain(|(other, at)| *other != from && now.since(*at) <= SUSPICION_SPAN);
+        self.suspicions.retain(|(other, at)| *other != from && now.since(*at) <= SUSPICION_WINDOW);
         self.suspicions.push((from, now));
-        let was_told = self.told_at.is_some_and(|at| now.since(at) < SUSPECT_STEP);
-        let is_shared = self.suspicions.len() >= SUSPECTING_ENTRIES && !was_told;
+        let was_informed = self.informed_at.is_some_and(|at| now.since(at) < SUSPECT_POLL_INTERVAL);
+        let is_shared = self.suspicions.len() >= SUSPECTING_ENTRIES && !was_informed;
         if is_shared {
-            self.told_at = Some(now);
+            self.informed_at = Some(now);
         }
         is_shared
     }
 
-    /// Returns true where the report is to be read now; `is_busy` says that entries
-    /// have given work to the engine.
+    /// Returns `true` if the report is to be polled now; `is_busy` states that entries have placed
+    /// work on the engine.
     pub fn is_due(&mut self, is_busy: bool, now: Tick) -> bool {
-        let is_asked = is_busy || self.is_down;
-        // The second look that shows an end is due soon after the first.
-        let is_open = self.is_suspected || (1..ENDED_LOOKS).contains(&self.refused);
-        let step = match (is_open, is_asked) {
-            (true, _) => SUSPECT_STEP,
-            (false, true) if self.is_scarce && !self.is_down => SCARCE_STEP,
-            (false, true) => REPORT_STEP,
+        let is_poll_needed = is_busy || self.is_down;
+        // The second poll, which confirms an exit, is due soon after the first.
+        let is_urgent = self.is_suspected || (1..MIN_REFUSED_POLLS).contains(&self.refused);
+        let interval = match (is_urgent, is_poll_needed) {
+            (true, _) => SUSPECT_POLL_INTERVAL,
+            (false, true) if self.is_rate_limited && !self.is_down => RATE_LIMITED_POLL_INTERVAL,
+            (false, true) => POLL_INTERVAL,
             (false, false) => return false,
         };
-        if self.looked_at.is_some_and(|at| now.since(at) < step) {
+        if self.polled_at.is_some_and(|at| now.since(at) < interval) {
             return false;
         }
-        self.looked_at = Some(now);
+        self.polled_at = Some(now);
         self.is_suspected = false;
         true
     }
 
-    /// Takes the start of the engine's life that a report told.
-    pub fn note_born(&mut self, born_ms: u64) {
-        if self.born_ms.replace(born_ms).is_some_and(|known| known != born_ms) {
-            self.life_notes_left = LIFE_NOTES;
+    /// Records the start time of the engine's instance from a report.
+    pub fn note_born(&mut self, started_ms: u64) {
+        if self.started_ms.replace(started_ms).is_some_and(|known| known != started_ms) {
+            self.instance_messages_left = INSTANCE_MESSAGES;
         }
     }
 
-    /// Whether entries are to be told that the engine has ended, after each look: with the
-    /// start of the life that follows, where it is back.
+    /// Returns the exit to send to entries after each poll, if any, with the start time of the next
+    /// instance if the engine is back.
     pub fn take_exit(&mut self) -> Option<EngineExit> {
-        if self.refused >= ENDED_LOOKS {
+        if self.refused >= MIN_REFUSED_POLLS {
             return Some(EngineExit { next_ms: None });
         }
-        self.life_notes_left = self.life_notes_left.checked_sub(1)?;
-        Some(EngineExit { next_ms: self.born_ms })
+        self.instance_messages_left = self.instance_messages_left.checked_sub(1)?;
+        Some(EngineExit { next_ms: self.started_ms })
     }
 
-    /// Takes the end of a look. Returns true where entries are to be told that the
-    /// engine is down.
-    pub fn note_report(&mut self, end: ReportEnd) -> bool {
-        match end {
+    /// Records the result of a poll. Returns `true` if entries are to be informed that the engine
+    /// is down.
+    pub fn note_report(&mut self, result: ReportEnd) -> bool {
+        match result {
             ReportEnd::Pace(pace) => {
                 self.pace_percent = pace;
                 self.missed = 0;
@@ -202,7 +202,7 @@
             }
             ReportEnd::Missed => {
                 self.missed += 1;
-                self.is_down |= self.missed >= LATE_REPORTS;
+                self.is_down |= self.missed >= MIN_MISSED_REPORTS;
             }
         }
         self.is_down
--- a/src/relay/peers/load_link.rs
+++ b/src/relay/peers/load_link.rs
@@ -8,24 +8,24 @@
 use tokio::net::UdpSocket;
 
 use super::load_note::{LoadNote, MAX_NOTE};
-use super::note_parts::NotePart;
+use super::note_parts::MessageFragment;
 use crate::Result;
 use crate::relay::core::RelayCore;
 use crate::relay::decide::request_digest::RequestDigest;
 use crate::relay::discovery::list_share::NewsTeller;
 use crate::time::Tick;
 
-/// Time between two subscriptions; an agent forgets an entry after a few.
-const SUBSCRIBE_STEP: Duration = Duration::from_millis(750);
+/// Interval of subscriptions; an agent drops an entry after a few missed ones.
+const SUBSCRIBE_INTERVAL: Duration = Duration::from_millis(750);
 
-/// Agents that are asked for the newest proof: each knows those of the entries that
-/// use its engine, and an entry that reads the store tells its agents at once.
-const ASKED_AGENTS: usize = 3;
+/// Number of agents that are asked for the newest proof: each knows the proofs of the entries that
+/// use its engine, and an entry that reads the store informs its agents at once.
+const QUERIED_AGENTS: usize = 3;
 
-/// Agents that keep what is known of a request: one of them may be gone or not be heard.
-const SUSPECT_KEEPERS: usize = 3;
+/// Number of agents that store the reports about a request: one of them may be gone or unreachable.
+const SUSPECT_HOLDERS: usize = 3;
 
-/// The entry's socket for notes.
+/// The entry's socket for peer messages.
 #[derive(Debug)]
 pub(crate) struct LoadLink {
     pub(crate) socket: UdpSocket,
@@ -34,152 +34,155 @@
 }
 
 impl LoadLink {
-    /// Listens; agents listen on the same port of their hosts.
+    /// Binds the socket; agents listen on the same port of their hosts.
     pub(crate) async fn bind(address: SocketAddr) -> Result<Self> {
         let socket = UdpSocket::bind(address).await?;
         let address = socket.local_addr()?;
         Ok(LoadLink { socket, address, subscribed_at: Cell::new(None) })
     }
 
-    /// Where it listens.
+    /// Returns the address that it is bound to.
     pub(crate) fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Sends a note to the agent beside its engine, or to those that keep what is known
-    /// of its request.
-    pub(crate) fn send(&self, core: &RelayCore, note: &LoadNote) {
-        match note {
+    /// Sends a message to the agent beside its engine, or to the agents that store the reports
+    /// about its request.
+    pub(crate) fn send(&self, core: &RelayCore, message: &LoadNote) {
+        match message {
             LoadNote::Placed { target, .. } | LoadNote::Ended { target, .. } => {
                 if let Some(target) = core.targets.get(target) {
-                    self.send_beside(target.record.address, note);
+                    self.send_beside(target.record.address, message);
                 }
             }
-            LoadNote::Suspected(news) => self.send_to_keepers(core, news.digest, note),
-            LoadNote::Cleared(digest) => self.send_to_keepers(core, *digest, note),
+            LoadNote::Suspected(report) => self.send_to_holders(core, report.digest, message),
+            LoadNote::Cleared(digest) => self.send_to_holders(core, *digest, message),
             _ => {}
         }
     }
 
-    fn send_to_keepers(&self, core: &RelayCore, digest: RequestDigest, note: &LoadNote) {
-        for keeper in suspect_keepers(core, digest) {
-            self.send_beside(keeper, note);
+    fn send_to_holders(&self, core: &RelayCore, digest: RequestDigest, message: &LoadNote) {
+        for holder in suspect_holders(core, digest) {
+            self.send_beside(holder, message);
         }
     }
 
-    /// Sends a note to the agent beside a target.
-    pub(crate) fn send_beside(&self, target: SocketAddr, note: &LoadNote) {
-        self.send_to(SocketAddr::new(target.ip(), self.address.port()), note);
+    /// Sends a message to the agent beside a target.
+    pub(crate) fn send_beside(&self, target: SocketAddr, message: &LoadNote) {
+        self.send_to(SocketAddr::new(target.ip(), self.address.port()), message);
     }
 
-    /// Has a few agents tell the other entries of something, in as many datagrams as it
-    /// takes. Returns false where it is too long for that.
-    pub(crate) fn tell_others(
+    /// Sends a message to the other entries through a few agents, in as many datagrams as
+    /// necessary. Returns `false` if it is too long for that.
+    pub(crate) fn broadcast(
         &self,
         core: &RelayCore,
-        note: &LoadNote,
-        teller: NewsTeller,
+        message: &LoadNote,
+        announcer: NewsTeller,
     ) -> bool {
-        let Ok(bytes) = note.to_bytes() else { return false };
+        let Ok(bytes) = message.to_bytes() else { return false };
         let engines = || core.targets.iter().filter(|target| target.model.is_some());
-        let count = teller.agents(used_engines(core).count(), engines().count());
-        // Any agent passes on what it is told, also one whose engine this entry does not use.
+        let count = announcer.agents(used_engines(core).count(), engines().count());
+        // Any agent relays messages, also one whose engine this entry does not use.
         let addresses = engines().map(|target| target.record.address);
         let agents = addresses.choose_multiple(&mut rand::rng(), count);
         if bytes.len() <= MAX_NOTE {
             for address in agents {
-                self.send_beside(address, note);
+                self.send_beside(address, message);
             }
             return true;
         }
-        let Some(parts) = NotePart::split(&bytes.into(), rand::random()) else { return false };
-        for part in parts.into_iter().map(LoadNote::Part) {
+        let Some(fragments) = MessageFragment::split(&bytes.into(), rand::random()) else {
+            return false;
+        };
+        for fragment in fragments.into_iter().map(LoadNote::Part) {
             for address in &agents {
-                self.send_beside(*address, &part);
+                self.send_beside(*address, &fragment);
             }
         }
         true
     }
 
-    /// Asks the agent beside a target to look whether it is down.
+    /// Asks the agent beside a target to check whether it is down.
     pub(crate) fn suspect(&self, target: SocketAddr) {
         self.send_beside(target, &LoadNote::Suspect);
     }
 
-    /// Sends a note to another process.
-    pub(crate) fn send_to(&self, address: SocketAddr, note: &LoadNote) {
-        // A note that can not be sent now is worth nothing later, and one that is too
-        // long is not read: who needs it reads the store.
-        if let Ok(bytes) = note.to_bytes()
+    /// Sends a message to another process.
+    pub(crate) fn send_to(&self, address: SocketAddr, message: &LoadNote) {
+        // A message that can not be sent now is worthless later, and one that is too long would not
+        // be read: entries that need it read the store.
+        if let Ok(bytes) = message.to_bytes()
             && bytes.len() <= MAX_NOTE
         {
             drop(self.socket.try_send_to(&bytes, address));
         }
     }
 
-    /// Tells the agents from time to time that this entry uses their engines.
+    /// Renews this entry's subscriptions at the agents of the engines it uses, if they are due.
     pub(crate) fn subscribe(&self, core: &mut RelayCore, now: Tick) {
-        if self.subscribed_at.get().is_some_and(|at| now.since(at) < SUBSCRIBE_STEP) {
+        if self.subscribed_at.get().is_some_and(|at| now.since(at) < SUBSCRIBE_INTERVAL) {
             return;
         }
-        self.announce(core, now);
-        self.tell_rates(core, now);
+        self.send_subscriptions(core, now);
+        self.send_rates(core, now);
     }
 
-    /// Tells the agents what is known of rates, where anything is.
-    fn tell_rates(&self, core: &mut RelayCore, now: Tick) {
-        for (beside, news) in core.to_giver_rates(now) {
-            self.send_beside(beside, &LoadNote::Rates(vec![news]));
+    /// Sends the known rates to the agents, if there are any.
+    fn send_rates(&self, core: &mut RelayCore, now: Tick) {
+        for (beside, update) in core.to_giver_rates(now) {
+            self.send_beside(beside, &LoadNote::Rates(vec![update]));
         }
         let rates = core.to_rates(now);
         if rates.is_empty() {
             return;
         }
-        let note = LoadNote::Rates(rates);
+        let message = LoadNote::Rates(rates);
         for address in used_engines(core) {
-            self.send_beside(address, &note);
+            self.send_beside(address, &message);
         }
     }
 
-    /// Tells all agents that this entry uses, of its proof as well.
-    pub(crate) fn announce(&self, core: &RelayCore, now: Tick) {
+    /// Sends a subscription, which includes the age of the proof, to all agents of engines that
+    /// this entry uses.
+    pub(crate) fn send_subscriptions(&self, core: &RelayCore, now: Tick) {
         self.subscribed_at.set(Some(now));
-        let note = to_subscription(core, now);
+        let message = to_subscription(core, now);
         for address in used_engines(core) {
-            self.send_beside(address, &note);
+            self.send_beside(address, &message);
         }
     }
 
-    /// Asks a few agents who has the newest proof.
-    pub(crate) fn ask_around(&self, core: &RelayCore, now: Tick) {
-        let note = to_subscription(core, now);
-        for address in used_engines(core).choose_multiple(&mut rand::rng(), ASKED_AGENTS) {
-            self.send_beside(address, &note);
+    /// Asks a few agents for the newest proof.
+    pub(crate) fn query_agents(&self, core: &RelayCore, now: Tick) {
+        let message = to_subscription(core, now);
+        for address in used_engines(core).choose_multiple(&mut rand::rng(), QUERIED_AGENTS) {
+            self.send_beside(address, &message);
         }
     }
 }
 
 fn to_subscription(core: &RelayCore, now: Tick) -> LoadNote {
-    // What is not confirmed proves nothing to others.
+    // An unconfirmed configuration proves nothing to others.
     let age = core.lease().age(now).filter(|_| core.is_config_confirmed());
     let proof_age_ms = age.and_then(|age| u32::try_from(age.as_millis()).ok());
     let revision = core.config_revision();
-    let is_told = core.is_config_confirmed() && !revision.is_unknown();
-    let config_mark = is_told.then_some(revision);
+    let is_announced = core.is_config_confirmed() && !revision.is_unknown();
+    let config_mark = is_announced.then_some(revision);
     let share = core.list_share();
     let list_mark = share.is_watching().then_some(share.announced());
     LoadNote::Subscribe { entry: core.entry(), proof_age_ms, list_mark, config_mark }
 }
 
-/// Addresses of the engines that this entry uses.
+/// Returns the addresses of the engines that this entry uses.
 fn used_engines(core: &RelayCore) -> impl Iterator<Item = SocketAddr> {
     let engines = core.targets.iter().filter(|target| target.is_used && target.model.is_some());
     engines.map(|target| target.record.address)
 }
 
-/// Engines beside which agents keep what is known of a request.
-fn suspect_keepers(core: &RelayCore, digest: RequestDigest) -> Vec<SocketAddr> {
+/// Returns the engines whose agents store the reports about a request.
+fn suspect_holders(core: &RelayCore, digest: RequestDigest) -> Vec<SocketAddr> {
     let mut hosts = core.ranked_hosts(|host| digest.rank_of(host));
-    hosts.truncate(SUSPECT_KEEPERS);
+    hosts.truncate(SUSPECT_HOLDERS);
     hosts
 }
--- a/src/relay/peers/load_note.rs
+++ b/src/relay/peers/load_note.rs
@@ -1,15 +1,14 @@
-//! What entries tell one another of the work they give to engines.
+//! Messages between entries and agents, mostly about the load that entries place on engines.
 //!
-//! The agent beside an engine passes each note on to the entries that use the
-//! engine. Notes are datagrams: one that is lost costs a little foresight, and
-//! waits hold nothing up.
+//! The agent beside an engine relays each message to the entries that use the engine. Messages are
+//! datagrams: a lost one makes predictions a little less accurate, and no request waits for one.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-use super::note_parts::NotePart;
+use super::note_parts::MessageFragment;
 use crate::relay::decide::permit_desk::{PermitAsk, PermitReply};
 use crate::relay::decide::quarantine::SuspectNews;
 use crate::relay::decide::rate_book::RateNews;
@@ -21,125 +20,130 @@
 use crate::relay::discovery::list_share::ListNews;
 use crate::relay::discovery::store_revision::StoreRevision;
 
-/// Largest datagram that is read, in bytes.
+/// Maximum size of a datagram that is read, in bytes.
 pub const MAX_NOTE: usize = 1_200;
 
-/// A note between an entry and an agent.
+/// A message between an entry and an agent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum LoadNote {
-    /// An entry uses the engine, and is to be told of it. Sent again and again.
+    /// An entry uses the engine and subscribes to its messages. Sent periodically.
     #[serde(rename = "h")]
     Subscribe {
         /// Incarnation of the entry.
         entry: u64,
         /// Age of its proof that its configuration is current, in milliseconds.
         proof_age_ms: Option<u32>,
-        /// Up to where it knows the list of targets, where it watches that.
+        /// Revision up to which it announced changes of the target list, if it watches the list.
+        #[serde(rename = "list_mark")]
         list_mark: Option<StoreRevision>,
-        /// Revision of its configuration, where that is confirmed.
+        /// Revision of its configuration, if that is confirmed.
+        #[serde(rename = "config_mark")]
         config_mark: Option<StoreRevision>,
     },
-    /// The agent's answer.
+    /// The agent's acknowledgement of a subscription.
     #[serde(rename = "w")]
     Welcome {
-        /// The life of the target beside the agent, where it knows one.
+        /// The target instance beside the agent, if it knows one.
         target: Arc<str>,
-        /// Entries that use the engine.
+        /// Number of entries that use the engine.
         entries: u32,
         /// How much slower than declared the engine works, in hundredths.
         pace_percent: u32,
-        /// Age of the newest proof that another entry has, in milliseconds.
+        /// Age of the newest proof of another entry, in milliseconds.
         proof_age_ms: Option<u32>,
-        /// Where that entry takes questions.
+        /// Address at which that entry answers queries.
         proof_from: Option<SocketAddr>,
-        /// Other entries that watch the list of targets.
+        /// Number of other entries that watch the target list.
         watchers: u32,
-        /// Newest mark of the list that one of these has.
+        /// Newest revision of the target list that one of these announced.
+        #[serde(rename = "list_mark")]
         list_mark: Option<StoreRevision>,
-        /// Newest revision of the configuration that another entry has.
+        /// Newest revision of the configuration at another entry.
+        #[serde(rename = "config_mark")]
         config_mark: Option<StoreRevision>,
     },
-    /// The list of targets changed. Passed on by the agent to the others.
+    /// The target list changed. Relayed by the agent to the other entries.
     #[serde(rename = "c")]
     ListChanged(ListNews),
-    /// The configuration changed. Passed on by the agent to the others.
+    /// The configuration changed. Relayed by the agent to the other entries.
     #[serde(rename = "v")]
     ConfigChanged(Box<ConfigDelta>),
-    /// A part of a note that is longer than a datagram. Passed on by the agent to the others.
+    /// A fragment of a message that is longer than a datagram. Relayed by the agent to the other
+    /// entries.
     #[serde(rename = "t")]
-    Part(NotePart),
-    /// An entry has reason to think that the engine is down. The agent looks.
+    Part(MessageFragment),
+    /// An entry has reason to suspect that the engine is down. The agent checks it.
     #[serde(rename = "s")]
     Suspect,
-    /// The engine beside the agent is down. Sent again while it is.
+    /// The engine beside the agent is down. Sent repeatedly while it is.
     #[serde(rename = "d")]
     Down,
-    /// The engine beside the agent has ended. Sent a few times.
+    /// The engine beside the agent has exited. Sent a few times.
     #[serde(rename = "x")]
     Exited {
-        /// Start of the life that follows, in Unix milliseconds, where there is one.
+        /// Start time of the next instance, in Unix milliseconds, if there is one.
         #[serde(rename = "b")]
         next_ms: Option<u64>,
     },
-    /// Targets ended under a request. Agents join what they are told and pass it on.
+    /// Targets crashed while they ran a request. Agents merge these reports and relay them.
     #[serde(rename = "u")]
     Suspected(SuspectNews),
     /// A target answered a request that was suspected.
     #[serde(rename = "k")]
     Cleared(RequestDigest),
-    /// An entry asks another one how current its configuration is.
+    /// An entry queries another one for the age of its proof.
     #[serde(rename = "q")]
     AskProof {
-        /// Names the question; others can not guess it.
+        /// Identifies the query; other processes can not guess it.
         nonce: u64,
     },
-    /// The answer, made after the question came.
+    /// The answer, made after the query was received.
     #[serde(rename = "a")]
     TellProof {
-        /// The question.
+        /// Identifies the query.
         nonce: u64,
         /// Revision of the configuration there.
         revision: StoreRevision,
-        /// Digest of it.
+        /// Digest of that configuration.
         config_digest: u64,
         /// Age of the proof that it is current, in milliseconds, rounded up.
         proof_age_ms: u32,
-        /// Failure domains that were out of service then.
+        /// Failure domains that were out of service at the time of the proof.
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
         evacuated: Vec<Arc<str>>,
     },
-    /// Rates that targets take, as far as the sender knows them. Entries and agents tell one
-    /// another, beside subscriptions and their answers.
+    /// Accepted request rates of targets, as far as the sender knows them. Entries and agents
+    /// exchange them together with subscriptions and acknowledgements.
     #[serde(rename = "r")]
     Rates(Vec<RateNews>),
-    /// An entry asks whether it may send to a target that takes a bounded rate.
+    /// An entry asks for a permit to send to a rate-limited target.
     #[serde(rename = "m")]
     AskPermit {
-        /// Names the question.
+        /// Identifies the request.
         nonce: u64,
-        /// What is asked.
+        /// The requested permit.
         ask: PermitAsk,
     },
-    /// An entry asks for a second attempt beside its own share.
+    /// An entry asks for a second attempt beyond its share of the retry budget.
     #[serde(rename = "b")]
     AskSlack {
-        /// Names the question.
+        /// Identifies the request.
         nonce: u64,
-        /// What is asked.
+        /// The requested attempt.
         ask: SlackAsk,
     },
-    /// The answer to either.
+    /// The answer to either request.
     #[serde(rename = "n")]
     TellPermit {
-        /// The question.
+        /// Identifies the request.
         nonce: u64,
-        /// What is answered.
+        /// The answer.
         reply: PermitReply,
     },
-    /// An entry had to send to such a target without a permit.
+    /// An entry had to send to a rate-limited target without a permit.
     #[serde(rename = "o")]
     Spent(TargetLife),
-    /// A stream was given to the engine.
+    /// A stream was placed on the engine.
     #[serde(rename = "p")]
     Placed {
         /// The engine.
@@ -148,11 +152,11 @@
         /// The stream.
         #[serde(rename = "k")]
         key: StreamKey,
-        /// What it costs there.
+        /// Its cost on the engine.
         #[serde(rename = "l")]
         load: StreamLoad,
     },
-    /// A stream is no longer at the engine.
+    /// A stream has left the engine.
     #[serde(rename = "e")]
     Ended {
         /// The engine.
@@ -174,25 +178,24 @@
 }
 
 impl LoadNote {
-    /// The datagram of this note.
+    /// Encodes the datagram of this message.
     ///
     /// # Errors
     ///
-    /// The note can not be encoded, which does not happen with names of usual
-    /// length.
+    /// The message can not be encoded, which does not happen with names of usual length.
     pub fn to_bytes(&self) -> crate::Result<Vec<u8>> {
         let mut bytes = Vec::with_capacity(128);
         ciborium::into_writer(self, &mut bytes)
-            .map_err(|_| crate::Error::frame("load note can not be encoded"))?;
+            .map_err(|_| crate::Error::frame("could not encode a peer message"))?;
         Ok(bytes)
     }
 
-    /// Reads a datagram.
+    /// Decodes a datagram.
     ///
     /// # Errors
     ///
-    /// The bytes are no note.
+    /// The bytes are not a valid message.
     pub fn from_bytes(bytes: &[u8]) -> crate::Result<Self> {
-        ciborium::from_reader(bytes).map_err(|_| crate::Error::frame("datagram is no load note"))
+        ciborium::from_reader(bytes).map_err(|_| crate::Error::frame("invalid peer message"))
     }
 }
--- a/src/relay/peers/mod.rs
+++ b/src/relay/peers/mod.rs
@@ -1,9 +1,9 @@
-//! What the processes of a fleet say to one another.
+//! Messages between the processes of a fleet.
 //!
-//! Entries tell one another of the work they give to engines through the agents
-//! beside these: [`load_note`] is what is said, [`subscriber_set`] what an agent
-//! knows, [`engine_watch`] whether its engine works, [`adviser`] the agent's process,
-//! and `load_link` an entry's socket. [`config_copy`] passes configurations on.
+//! Entries inform one another of the load that they place on engines, through the agents beside
+//! these: [`load_note`] defines the messages, [`subscriber_set`] holds the state of an agent,
+//! [`engine_watch`] tracks whether its engine works, [`adviser`] is the agent's event loop, and
+//! `load_link` an entry's socket. [`config_copy`] transfers configurations.
 
 pub mod adviser;
 pub mod config_copy;
--- a/src/relay/peers/note_parts.rs
+++ b/src/relay/peers/note_parts.rs
@@ -1,9 +1,9 @@
-//! Notes that are longer than a datagram, in parts.
+//! Fragments of messages that are longer than a datagram.
 //!
-//! The load that it answers: a twentieth of the engines of a large fleet replaced within
-//! seconds. How many changes one answer of a watch brings grows with the fleet, and a
-//! datagram does not: news that did not fit were told to nobody, and each entry read the
-//! whole list to learn them.
+//! The number of changes in one answer of a watch grows with the fleet, for example if a twentieth
+//! of a large fleet's engines is replaced within seconds, but the size of a datagram does not.
+//! Without fragments such an update reaches no entry, and each entry reads the whole list to learn
+//! the changes.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -14,89 +14,91 @@
 use super::load_note::MAX_NOTE;
 use crate::time::Tick;
 
-/// Bytes of a part: the rest of a datagram is for what names it.
-const PART_BYTES: usize = MAX_NOTE - 64;
+/// Payload bytes of a fragment: the rest of the datagram holds its header.
+const FRAGMENT_BYTES: usize = MAX_NOTE - 64;
 
-/// Most parts of a note. What is longer is not told: who needs it reads the store.
-const MOST_PARTS: usize = 64;
+/// Maximum number of fragments of a message. A longer message is not sent: entries that need it
+/// read the store.
+const MAX_FRAGMENTS: usize = 64;
 
-/// Most notes of which parts are kept.
-const MOST_NOTES: usize = 64;
+/// Maximum number of messages whose fragments are buffered.
+const MAX_MESSAGES: usize = 64;
 
-/// Time for which parts are kept, and for which it is known that a note was whole: copies of
-/// them come through several agents.
-const KEPT_SPAN: Duration = Duration::from_secs(2);
+/// How long fragments are buffered, and how long a message is known to be complete: copies of
+/// fragments come through several agents.
+const BUFFER_TTL: Duration = Duration::from_secs(2);
 
-/// A part of a note.
+/// A fragment of a message.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct NotePart {
-    /// Names the note.
+pub struct MessageFragment {
+    /// Identifies the message.
     #[serde(rename = "i")]
     pub id: u64,
-    /// Place of the part, from zero.
+    /// Index of the fragment, from zero.
     #[serde(rename = "n")]
     pub number: u16,
-    /// Parts of the note.
+    /// Number of fragments of the message.
     #[serde(rename = "c")]
     pub count: u16,
-    /// Its bytes.
+    /// Its payload.
     #[serde(rename = "b")]
     pub bytes: Bytes,
 }
 
-impl NotePart {
-    /// The parts of a note's bytes, none where there would be too many.
+impl MessageFragment {
+    /// Splits the bytes of a message, `None` if there would be too many fragments.
     #[must_use]
     pub fn split(bytes: &Bytes, id: u64) -> Option<Vec<Self>> {
-        let count = bytes.len().div_ceil(PART_BYTES);
-        if count > MOST_PARTS {
+        let count = bytes.len().div_ceil(FRAGMENT_BYTES);
+        if count > MAX_FRAGMENTS {
             return None;
         }
-        let to_part = |number: usize| {
-            let from = number * PART_BYTES;
-            let bytes = bytes.slice(from..bytes.len().min(from + PART_BYTES));
-            NotePart { id, number: number as u16, count: count as u16, bytes }
+        let to_fragment = |number: usize| {
+            let from = number * FRAGMENT_BYTES;
+            let bytes = bytes.slice(from..bytes.len().min(from + FRAGMENT_BYTES));
+            MessageFragment { id, number: number as u16, count: count as u16, bytes }
         };
-        Some((0..count).map(to_part).collect())
+        Some((0..count).map(to_fragment).collect())
     }
 }
 
 #[derive(Debug)]
-struct OpenNote {
-    parts: Vec<Option<Bytes>>,
-    heard_at: Tick,
-    /// True once it was whole.
-    is_taken: bool,
+struct PartialMessage {
+    fragments: Vec<Option<Bytes>>,
+    received_at: Tick,
+    /// Whether the message was already returned.
+    is_returned: bool,
 }
 
-/// Parts of notes that are not whole yet.
+/// Fragments of messages that are not complete yet.
 #[derive(Debug, Default)]
-pub struct PartBuffer {
-    notes: HashMap<u64, OpenNote>,
+pub struct FragmentBuffer {
+    messages: HashMap<u64, PartialMessage>,
 }
 
-impl PartBuffer {
-    /// Takes a part. Returns the bytes of its note where that is whole with it, once.
-    pub fn take(&mut self, part: NotePart, now: Tick) -> Option<Vec<u8>> {
-        let NotePart { id, number, count, bytes } = part;
-        if count as usize > MOST_PARTS || number >= count {
+impl FragmentBuffer {
+    /// Inserts a fragment. Returns the bytes of its message, once, if this fragment completes it.
+    pub fn insert(&mut self, fragment: MessageFragment, now: Tick) -> Option<Vec<u8>> {
+        let MessageFragment { id, number, count, bytes } = fragment;
+        if count as usize > MAX_FRAGMENTS || number >= count {
             return None;
         }
-        self.notes.retain(|_, note| now.since(note.heard_at) < KEPT_SPAN);
-        if self.notes.len() >= MOST_NOTES && !self.notes.contains_key(&id) {
+        self.messages.retain(|_, message| now.since(message.received_at) < BUFFER_TTL);
+        if self.messages.len() >= MAX_MESSAGES && !self.messages.contains_key(&id) {
             return None;
         }
-        let note = self.notes.entry(id).or_insert_with(|| OpenNote {
-            parts: vec![None; count.into()],
-            heard_at: now,
-            is_taken: false,
+        let message = self.messages.entry(id).or_insert_with(|| PartialMessage {
+            fragments: vec![None; count.into()],
+            received_at: now,
+            is_returned: false,
         });
-        *note.parts.get_mut(usize::from(number))? = Some(bytes);
-        let is_whole = note.parts.iter().all(Option::is_some);
-        if !is_whole || std::mem::replace(&mut note.is_taken, true) {
+        *message.fragments.get_mut(usize::from(number))? = Some(bytes);
+        let is_complete = message.fragments.iter().all(Option::is_some);
+        if !is_complete || std::mem::replace(&mut message.is_returned, true) {
             return None;
         }
-        let parts = note.parts.iter_mut().filter_map(|part| part.replace(Bytes::new()));
-        Some(parts.flatten().collect())
+        let fragments =
+            message.fragments.iter_mut().filter_map(|fragment| fragment.replace(Bytes::new()));
+        Some(fragments.flatten().collect())
     }
 }
--- a/src/relay/peers/subscriber_set.rs
+++ b/src/relay/peers/subscriber_set.rs
@@ -1,5 +1,5 @@
-//! The agent's list of the entries that use its engine: each is told what the
-//! others give to it.
+//! The agent's table of the entries that use its engine. Each entry receives messages about the
+//! load that the others place on the engine.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -16,37 +16,37 @@
 use crate::time::Tick;
 
 /// Time without a subscription after which an entry counts as gone.
-const SUBSCRIBER_SPAN: Duration = Duration::from_millis(2_500);
+const SUBSCRIBER_TTL: Duration = Duration::from_millis(2_500);
 
-/// Time without a subscription after which an entry no longer counts as one that
-/// watches the list: others have to step in well within the bound for targets that
-/// leave. One subscription may be late.
-const WATCHER_SPAN: Duration = Duration::from_millis(1_200);
+/// Time without a subscription after which an entry no longer counts as a watcher of the target
+/// list: others have to start watching well within the bound for leaving targets. One subscription
+/// may be late.
+const WATCHER_TTL: Duration = Duration::from_millis(1_200);
 
 /// The entries that an agent knows, and what their streams cost its engine.
 #[derive(Debug, Default)]
 pub struct SubscriberSet {
     subscribers: HashMap<SocketAddr, Subscriber>,
     streams: HashMap<StreamKey, LoadNote>,
-    /// What entries told of requests that end targets.
+    /// What entries reported about requests that crash targets.
     suspects: QuarantineLedger,
-    /// Rates that targets take, and who may send there.
+    /// Accepted rates of targets, and permits to send to them.
     permits: PermitDesk,
-    /// Second attempts that it gives.
+    /// Second attempts that it grants.
     slack: SlackGate,
     /// Name of the engine beside this agent, as entries call it.
     beside: Option<Arc<str>>,
-    /// What each subscriber was told of rates.
-    rates_told: HashMap<SocketAddr, RateTold>,
+    /// Rates that were sent to each subscriber.
+    sent_rates: HashMap<SocketAddr, RateTold>,
 }
 
 #[derive(Debug)]
 struct Subscriber {
     entry: u64,
-    heard_at: Tick,
+    received_at: Tick,
     /// When it proved its configuration current.
     proven_at: Option<Tick>,
-    /// Up to where it knows the list of targets, where it watches that.
+    /// Revision up to which it announced changes of the target list, if it watches the list.
     list_mark: Option<StoreRevision>,
     /// Revision of its configuration.
     config_mark: Option<StoreRevision>,
@@ -55,50 +55,51 @@
 /// A datagram to be sent.
 #[derive(Debug, PartialEq)]
 pub struct NoteOut {
-    /// Where to.
+    /// Its destination.
     pub to: SocketAddr,
-    /// What.
+    /// Its content.
     pub note: LoadNote,
 }
 
 impl SubscriberSet {
-    /// Takes a note of an entry and says what is to be sent.
+    /// Handles a message of an entry and returns the messages to be sent.
     pub fn on_note(
         &mut self,
-        note: &LoadNote,
+        message: &LoadNote,
         from: SocketAddr,
         pace_percent: u32,
         now: Tick,
     ) -> Vec<NoteOut> {
-        match note {
+        match message {
             LoadNote::Subscribe { entry, proof_age_ms, list_mark, config_mark } => {
                 let proof_age = proof_age_ms.map(|age| Duration::from_millis(age.into()));
                 let proven_at = proof_age.map(|age| now - age);
                 let (entry, list_mark, config_mark) = (*entry, *list_mark, *config_mark);
-                let heard_at = now;
-                let subscriber = Subscriber { entry, heard_at, proven_at, list_mark, config_mark };
-                self.on_subscribe(subscriber, from, pace_percent)
+                let received_at = now;
+                let subscriber =
+                    Subscriber { entry, received_at, proven_at, list_mark, config_mark };
+                self.handle_subscription(subscriber, from, pace_percent)
             }
             LoadNote::Placed { key, target, .. } => {
                 self.beside = Some(target.clone());
-                self.streams.insert(*key, note.clone());
-                self.to_others(from, note)
+                self.streams.insert(*key, message.clone());
+                self.to_others(from, message)
             }
             LoadNote::Ended { key, .. } => {
                 self.streams.remove(key);
-                self.to_others(from, note)
+                self.to_others(from, message)
             }
             LoadNote::ListChanged(_) | LoadNote::ConfigChanged(_) | LoadNote::Part(_) => {
-                self.to_others(from, note)
+                self.to_others(from, message)
             }
-            LoadNote::Suspected(news) => self.join_suspect(news, now),
+            LoadNote::Suspected(report) => self.merge_suspect(report, now),
             LoadNote::Cleared(digest) => {
-                let was_told = self.suspects.told_of(*digest).is_some();
+                let was_reported = self.suspects.told_of(*digest).is_some();
                 self.suspects.note_served(digest);
-                if was_told { self.to_others(from, note) } else { Vec::new() }
+                if was_reported { self.to_others(from, message) } else { Vec::new() }
             }
-            LoadNote::Rates(news) => {
-                self.permits.take_news(news, now);
+            LoadNote::Rates(updates) => {
+                self.permits.take_news(updates, now);
                 Vec::new()
             }
             LoadNote::AskPermit { nonce, ask } => {
@@ -124,13 +125,13 @@
         }
     }
 
-    fn on_subscribe(
+    fn handle_subscription(
         &mut self,
         subscriber: Subscriber,
         from: SocketAddr,
         pace_percent: u32,
     ) -> Vec<NoteOut> {
-        let Subscriber { entry, heard_at: now, .. } = subscriber;
+        let Subscriber { entry, received_at: now, .. } = subscriber;
         let known = self.subscribers.insert(from, subscriber);
         let newest = self.newest_proof(from);
         let proof_age = newest.map(|(_, at)| now.since(at));
@@ -139,75 +140,78 @@
         let entries = self.subscribers.len() as u32;
         let others = self.subscribers.iter().filter(|(other, _)| **other != from);
         let config_mark = others.filter_map(|(_, other)| other.config_mark).max();
-        let marks: Vec<StoreRevision> = self.watcher_marks(from, now).collect();
-        let welcome = LoadNote::Welcome {
+        let revisions: Vec<StoreRevision> = self.watcher_revisions(from, now).collect();
+        let acknowledgement = LoadNote::Welcome {
             target: "".into(),
             entries,
             pace_percent,
             proof_age_ms,
             proof_from,
-            watchers: marks.len() as u32,
-            list_mark: marks.iter().max().copied(),
+            watchers: revisions.len() as u32,
+            list_mark: revisions.iter().max().copied(),
             config_mark,
         };
-        let mut out = vec![NoteOut { to: from, note: welcome }];
+        let mut out = vec![NoteOut { to: from, note: acknowledgement }];
         let is_new = known.as_ref().is_none_or(|known| known.entry != entry);
         if is_new {
-            self.rates_told.remove(&from);
+            self.sent_rates.remove(&from);
         }
         if let Some(known) = known.filter(|known| known.entry != entry) {
             out.extend(self.drop_entry(known.entry));
         }
-        let told = self.rates_told.entry(from).or_default();
-        let rates = self.permits.to_news(told, now);
+        let sent = self.sent_rates.entry(from).or_default();
+        let rates = self.permits.to_news(sent, now);
         if !rates.is_empty() {
             out.push(NoteOut { to: from, note: LoadNote::Rates(rates) });
         }
         if is_new {
-            out.extend(self.streams.values().map(|note| NoteOut { to: from, note: note.clone() }));
+            out.extend(
+                self.streams.values().map(|message| NoteOut { to: from, note: message.clone() }),
+            );
             let suspects = self.suspects.to_news().into_iter().map(LoadNote::Suspected);
-            out.extend(suspects.map(|note| NoteOut { to: from, note }));
+            out.extend(suspects.map(|report| NoteOut { to: from, note: report }));
         }
         out
     }
 
-    /// The newest proof that others than the entry at `to` have, and who has it.
+    /// Returns the newest proof of entries other than the one at `to`, and the address of its
+    /// holder.
     fn newest_proof(&self, to: SocketAddr) -> Option<(SocketAddr, Tick)> {
         let others = self.subscribers.iter().filter(|(from, _)| **from != to);
         let proofs = others.filter_map(|(from, other)| other.proven_at.map(|at| (*from, at)));
         proofs.max_by_key(|(_, at)| *at)
     }
 
-    /// Marks of the entries that watch the list, but for the one at `to`.
-    fn watcher_marks(&self, to: SocketAddr, now: Tick) -> impl Iterator<Item = StoreRevision> {
+    /// Returns the revisions that watchers of the target list announced, except the entry at `to`.
+    fn watcher_revisions(&self, to: SocketAddr, now: Tick) -> impl Iterator<Item = StoreRevision> {
         let others = self.subscribers.iter().filter(move |(from, _)| **from != to);
-        let heard = others.filter(move |(_, other)| now.since(other.heard_at) <= WATCHER_SPAN);
-        heard.filter_map(|(_, other)| other.list_mark)
+        let recent = others.filter(move |(_, other)| now.since(other.received_at) <= WATCHER_TTL);
+        recent.filter_map(|(_, other)| other.list_mark)
     }
 
-    fn to_others(&self, from: SocketAddr, note: &LoadNote) -> Vec<NoteOut> {
+    fn to_others(&self, from: SocketAddr, message: &LoadNote) -> Vec<NoteOut> {
         let others = self.subscribers.keys().filter(|to| **to != from);
-        others.map(|to| NoteOut { to: *to, note: note.clone() }).collect()
+        others.map(|to| NoteOut { to: *to, note: message.clone() }).collect()
     }
 
-    /// Forgets entries that were not heard of, and says what is to be sent.
+    /// Drops entries whose subscription has expired, and returns the messages to be sent.
     pub fn expire(&mut self, now: Tick) -> Vec<NoteOut> {
         self.permits.expire(now);
         let gone: Vec<u64> = self
             .subscribers
             .values()
-            .filter(|subscriber| now.since(subscriber.heard_at) > SUBSCRIBER_SPAN)
+            .filter(|subscriber| now.since(subscriber.received_at) > SUBSCRIBER_TTL)
             .map(|subscriber| subscriber.entry)
             .collect();
         self.subscribers.retain(|_, subscriber| !gone.contains(&subscriber.entry));
-        self.rates_told.retain(|from, _| self.subscribers.contains_key(from));
+        self.sent_rates.retain(|from, _| self.subscribers.contains_key(from));
         gone.into_iter().flat_map(|entry| self.drop_entry(entry)).collect()
     }
 
-    /// Forgets the streams of an entry: they ended with their connections.
+    /// Drops the streams of an entry: they ended with their connections.
     fn drop_entry(&mut self, entry: u64) -> Vec<NoteOut> {
         let target = self.streams.iter().find(|(key, _)| key.entry == entry);
-        let target = target.and_then(|(_, note)| match note {
+        let target = target.and_then(|(_, message)| match message {
             LoadNote::Placed { target, .. } => Some(target.clone()),
             _ => None,
         });
@@ -216,39 +220,40 @@
         self.to_all(&LoadNote::EntryGone { target, entry })
     }
 
-    /// Joins what an entry tells of a request with what others told. All are told of one
-    /// that was at several ends: of 16 requests at an engine that ends, one is the cause.
-    fn join_suspect(&mut self, news: &SuspectNews, now: Tick) -> Vec<NoteOut> {
-        self.suspects.take_news(news, now);
-        let joined = self.suspects.told_of(news.digest);
-        joined.map_or_else(Vec::new, |joined| self.to_all(&LoadNote::Suspected(joined)))
+    /// Merges an entry's report about a request with the reports of others. All entries are
+    /// informed of a request that was present at several crashes: of 16 requests on an engine that
+    /// crashes, one is the cause.
+    fn merge_suspect(&mut self, report: &SuspectNews, now: Tick) -> Vec<NoteOut> {
+        self.suspects.take_news(report, now);
+        let merged = self.suspects.told_of(report.digest);
+        merged.map_or_else(Vec::new, |merged| self.to_all(&LoadNote::Suspected(merged)))
     }
 
-    /// What is sent when the engine has ended.
+    /// Returns the messages to be sent after the engine has exited.
     #[must_use]
     pub fn to_exited(&self, next_ms: Option<u64>) -> Vec<NoteOut> {
         self.to_all(&LoadNote::Exited { next_ms })
     }
 
-    fn to_all(&self, note: &LoadNote) -> Vec<NoteOut> {
+    fn to_all(&self, message: &LoadNote) -> Vec<NoteOut> {
         let all = self.subscribers.keys();
-        all.map(|to| NoteOut { to: *to, note: note.clone() }).collect()
+        all.map(|to| NoteOut { to: *to, note: message.clone() }).collect()
     }
 
-    /// What is sent while the engine is down: every entry that uses it is told,
-    /// so that not each of them has to find out by a request.
+    /// Returns the messages to be sent while the engine is down. They inform every entry that uses
+    /// it, so that not each of them has to find out by a failed request.
     #[must_use]
     pub fn to_down(&self) -> Vec<NoteOut> {
         self.to_all(&LoadNote::Down)
     }
 
-    /// Returns true where the engine beside this agent takes few requests.
+    /// Returns `true` if the engine beside this agent is rate-limited.
     #[must_use]
     pub fn is_scarce(&self) -> bool {
         self.beside.as_deref().is_some_and(|name| self.permits.is_scarce(name))
     }
 
-    /// Returns true where some stream is known.
+    /// Returns `true` if any stream on the engine is known.
     #[must_use]
     pub fn is_busy(&self) -> bool {
         !self.streams.is_empty()
--- a/tests/relay/note_parts.rs
+++ b/tests/relay/note_parts.rs
@@ -4,7 +4,7 @@
 use shalelane::relay::discovery::feed::TargetChange;
 use shalelane::relay::discovery::list_share::ListNews;
 use shalelane::relay::peers::load_note::{LoadNote, MAX_NOTE};
-use shalelane::relay::peers::note_parts::{NotePart, PartBuffer};
+use shalelane::relay::peers::note_parts::{FragmentBuffer, MessageFragment};
 use shalelane::relay::peers::subscriber_set::SubscriberSet;
 
 use crate::fixture::{at, check, record, revision};
@@ -16,13 +16,13 @@
     LoadNote::ListChanged(ListNews { since: revision(1), mark: revision(2), age_ms: 0, changes })
 }
 
-fn split(note: &LoadNote, id: u64) -> Vec<NotePart> {
-    NotePart::split(&Bytes::from(note.to_bytes().unwrap()), id).expect("parts")
+fn split(note: &LoadNote, id: u64) -> Vec<MessageFragment> {
+    MessageFragment::split(&Bytes::from(note.to_bytes().unwrap()), id).expect("parts")
 }
 
-fn join(parts: impl IntoIterator<Item = NotePart>) -> Vec<LoadNote> {
-    let mut buffer = PartBuffer::default();
-    let whole = parts.into_iter().filter_map(|part| buffer.take(part, at(0)));
+fn join(parts: impl IntoIterator<Item = MessageFragment>) -> Vec<LoadNote> {
+    let mut buffer = FragmentBuffer::default();
+    let whole = parts.into_iter().filter_map(|part| buffer.insert(part, at(0)));
     whole.map(|bytes| LoadNote::from_bytes(&bytes).unwrap()).collect()
 }
 
@@ -71,30 +71,30 @@
 
 #[test]
 fn parts_that_can_not_be_are_left_out() {
-    let mut buffer = PartBuffer::default();
-    let part = |number, count| NotePart { id: 1, number, count, bytes: Bytes::new() };
+    let mut buffer = FragmentBuffer::default();
+    let part = |number, count| MessageFragment { id: 1, number, count, bytes: Bytes::new() };
     for part in [part(0, 0), part(3, 3), part(0, u16::MAX), part(u16::MAX, u16::MAX)] {
-        assert_eq!(buffer.take(part, at(0)), None);
+        assert_eq!(buffer.insert(part, at(0)), None);
     }
-    assert_eq!(buffer.take(part(0, 2), at(0)), None);
-    assert_eq!(buffer.take(part(2, 3), at(0)), None, "another count under the same name");
+    assert_eq!(buffer.insert(part(0, 2), at(0)), None);
+    assert_eq!(buffer.insert(part(2, 3), at(0)), None, "another count under the same name");
 }
 
 /// Parts of notes that never become whole take no more than a bounded memory.
 #[test]
 fn parts_that_are_never_whole_are_forgotten() {
-    let mut buffer = PartBuffer::default();
+    let mut buffer = FragmentBuffer::default();
     for id in 0..10_000 {
-        buffer.take(NotePart { id, number: 0, count: 2, bytes: Bytes::new() }, at(0));
+        buffer.insert(MessageFragment { id, number: 0, count: 2, bytes: Bytes::new() }, at(0));
     }
     let note = release(40);
-    let late = split(&note, u64::MAX).into_iter().filter_map(|part| buffer.take(part, at(2_500)));
+    let late = split(&note, u64::MAX).into_iter().filter_map(|part| buffer.insert(part, at(2_500)));
     assert_eq!(late.count(), 1);
 }
 
 #[test]
 fn what_is_too_long_is_not_split() {
-    assert!(NotePart::split(&Bytes::from(vec![0; 100_000]), 1).is_none());
+    assert!(MessageFragment::split(&Bytes::from(vec![0; 100_000]), 1).is_none());
 }
 
 #[test]
