--- a/tests/relay/config_news.rs
+++ b/tests/relay/config_news.rs
@@ -1,4 +1,4 @@
-//! How a few entries that watch the configuration tell the others what changed.
+//! Updates of the configuration from the few entries that watch it to the others.
 
 use std::collections::BTreeSet;
 
@@ -14,7 +14,7 @@
 
 use crate::fixture::{at, check, config_news, limits, ms, name, revision, route};
 
-/// A configuration with a route, and an account that has these keys.
+/// A configuration with one route, and one account with these keys.
 fn config(version: u64, keys: &[&str]) -> RelayConfig {
     let keys = keys.iter().map(|key| name(key)).collect();
     RelayConfig {
@@ -35,92 +35,97 @@
 fn entry(number: u64) -> RelayCore {
     let mut core = RelayCore::new(limits(StalePolicy::FailClosed), number);
     core.take_read(read(5, Some(config(1, &["k1"]))), at(1_000));
-    assert_eq!(core.take_config_change(), None, "the first one of a process is no change");
+    assert_eq!(
+        core.take_config_change(),
+        None,
+        "the first configuration of a process is no change"
+    );
     core
 }
 
-/// What an entry tells that hears of another configuration by its watch.
-fn watch(core: &mut RelayCore, number: u64, config: RelayConfig, now: Tick) -> ConfigDelta {
+/// Applies an update from the entry's own watch, and returns the delta that it announces.
+fn watch_update(core: &mut RelayCore, number: u64, config: RelayConfig, now: Tick) -> ConfigDelta {
     core.take_news(config_news(revision(number), config), now);
     core.take_config_change().expect("a change")
 }
 
-fn is_let_in(core: &mut RelayCore, key: &str, now: Tick) -> bool {
+fn is_admitted(core: &mut RelayCore, key: &str, now: Tick) -> bool {
     core.admit("h", "/a/x", Some(key), now).is_ok()
 }
 
 #[test]
-fn what_one_entry_watches_is_in_force_at_another() {
+fn an_update_of_one_watcher_is_in_force_at_another_entry() {
     let (mut watcher, mut other) = (entry(1), entry(2));
-    let delta = watch(&mut watcher, 6, config(2, &["k2"]), at(1_500));
+    let delta = watch_update(&mut watcher, 6, config(2, &["k2"]), at(1_500));
     assert!(other.take_delta(&delta, at(1_502)));
     assert_eq!(other.config_revision(), revision(6));
-    assert!(is_let_in(&mut other, "k2", at(1_510)));
+    assert!(is_admitted(&mut other, "k2", at(1_510)));
     assert_eq!(other.admit("h", "/a/x", Some("k1"), at(1_510)).unwrap_err(), Refusal::BadKey);
-    assert!(!other.take_delta(&delta, at(1_520)), "a copy of it");
+    assert!(!other.take_delta(&delta, at(1_520)), "a second copy");
 }
 
 #[test]
-fn a_change_that_fits_a_datagram_is_small() {
+fn an_update_of_one_route_among_500_is_small() {
     let mut watcher = entry(1);
     let mut large = config(1, &["k1"]);
     large.routes = (0..500).map(|number| route(&format!("/r{number}/"))).collect();
-    watch(&mut watcher, 6, large.clone(), at(1_400));
+    watch_update(&mut watcher, 6, large.clone(), at(1_400));
     let mut changed = RelayConfig { version: 2, ..large };
     changed.routes[7].time_limit = ms(700);
-    let note = LoadNote::ConfigChanged(watch(&mut watcher, 7, changed, at(1_500)).into());
-    let bytes = note.to_bytes().unwrap();
+    let message = LoadNote::ConfigChanged(watch_update(&mut watcher, 7, changed, at(1_500)).into());
+    let bytes = message.to_bytes().unwrap();
     assert!(bytes.len() < 700, "{} bytes", bytes.len());
-    assert_eq!(LoadNote::from_bytes(&bytes).unwrap(), note);
+    assert_eq!(LoadNote::from_bytes(&bytes).unwrap(), message);
 }
 
-/// Versions never step back, and news that were missed are seen.
+/// Versions never decrease, and missed updates are noticed.
 #[test]
-fn news_that_lead_on_from_a_later_revision_are_a_gap() {
+fn an_update_from_a_later_revision_is_a_gap() {
     let (mut watcher, mut other) = (entry(1), entry(2));
-    let first = watch(&mut watcher, 6, config(2, &["k2"]), at(1_500));
-    let second = watch(&mut watcher, 8, config(3, &["k3"]), at(1_900));
+    let first = watch_update(&mut watcher, 6, config(2, &["k2"]), at(1_500));
+    let second = watch_update(&mut watcher, 8, config(3, &["k3"]), at(1_900));
     assert!(!other.take_delta(&second, at(1_910)));
-    assert!(!other.is_config_behind(at(1_950)), "copies may come another way");
+    assert!(!other.is_config_behind(at(1_950)), "copies may arrive through other agents");
     assert!(other.is_config_behind(at(2_800)));
     assert!(other.take_delta(&first, at(2_810)));
     assert!(other.take_delta(&second, at(2_820)));
     assert!(!other.is_config_behind(at(2_830)));
-    assert!(!other.take_delta(&first, at(2_840)), "late ones");
-    assert!(is_let_in(&mut other, "k3", at(2_850)));
+    assert!(!other.take_delta(&first, at(2_840)), "late update");
+    assert!(is_admitted(&mut other, "k3", at(2_850)));
 }
 
-/// In a storm each entry that watches tells from where it was last: these overlap.
+/// Under frequent changes each watching entry announces from where it was last, so updates overlap.
 #[test]
-fn news_of_different_watchers_overlap() {
+fn updates_of_different_watchers_overlap() {
     let (mut one, mut two, mut other) = (entry(1), entry(2), entry(3));
-    let first = watch(&mut one, 6, config(2, &["k2"]), at(1_500));
-    let both = watch(&mut two, 7, config(3, &["k3"]), at(1_600));
-    let last = watch(&mut one, 9, config(4, &["k4"]), at(1_700));
+    let first = watch_update(&mut one, 6, config(2, &["k2"]), at(1_500));
+    let both = watch_update(&mut two, 7, config(3, &["k3"]), at(1_600));
+    let last = watch_update(&mut one, 9, config(4, &["k4"]), at(1_700));
     assert!(other.take_delta(&first, at(1_510)));
     assert!(other.take_delta(&both, at(1_610)));
     assert!(other.take_delta(&last, at(1_710)));
-    assert!(is_let_in(&mut other, "k4", at(1_720)));
+    assert!(is_admitted(&mut other, "k4", at(1_720)));
 }
 
-/// Past failure: who heard of a change from another entry before its own watch told it led on
-/// from there, or told nothing: 126 of 402 entries had no news of a change that eight watched.
+/// Guards against this failure: an entry that receives a change from another entry before its own
+/// watch shows it announces an update from that later revision, or none. 126 of 402 entries missed
+/// a change that eight entries watched.
 #[test]
-fn who_has_heard_from_another_tells_from_where_its_own_watch_was() {
+fn a_watcher_that_received_an_update_announces_from_its_own_position() {
     let (mut first, mut second, mut other) = (entry(1), entry(2), entry(3));
-    let delta = watch(&mut first, 6, config(2, &["k2"]), at(1_500));
+    let delta = watch_update(&mut first, 6, config(2, &["k2"]), at(1_500));
     assert!(second.take_delta(&delta, at(1_502)));
-    let again = watch(&mut second, 6, config(2, &["k2"]), at(1_503));
+    let again = watch_update(&mut second, 6, config(2, &["k2"]), at(1_503));
     assert_eq!((again.since, again.mark), (revision(5), revision(6)));
     assert!(other.take_delta(&again, at(1_504)));
-    assert!(is_let_in(&mut other, "k2", at(1_510)));
+    assert!(is_admitted(&mut other, "k2", at(1_510)));
 }
 
-/// An agent tells the newest revision that others have: news may be lost.
+/// An agent reports the newest revision of the other entries, because updates may be lost.
 #[test]
-fn a_revision_that_agents_tell_shows_that_news_were_lost() {
+fn a_revision_reported_by_agents_reveals_lost_updates() {
     let mut core = entry(1);
-    let welcome = LoadNote::Welcome {
+    let acknowledgement = LoadNote::Welcome {
         target: name("t"),
         entries: 9,
         pace_percent: 100,
@@ -130,26 +135,26 @@
         list_mark: None,
         config_mark: Some(revision(7)),
     };
-    core.take_note(welcome, at(2_000));
+    core.take_note(acknowledgement, at(2_000));
     assert!(core.is_config_behind(at(2_900)));
     core.take_read(read(6, Some(config(2, &["k2"]))), at(2_900));
     assert!(!core.is_config_behind(at(9_000)), "the store has nothing later");
 }
 
 #[test]
-fn a_listener_looks_sooner_than_one_who_watches() {
-    let mut share = ConfigShare::default();
-    share.note_told(revision(7), revision(5), at(1_000));
-    assert!(share.is_behind(false, at(1_150)));
-    assert!(!share.is_behind(true, at(1_700)), "it may rest between two answers");
-    assert!(share.is_behind(true, at(1_800)));
-    share.note_own(revision(7));
-    assert!(!share.is_behind(false, at(1_900)));
+fn a_listener_reads_the_store_sooner_than_a_watcher() {
+    let mut sync = ConfigShare::default();
+    sync.note_told(revision(7), revision(5), at(1_000));
+    assert!(sync.is_behind(false, at(1_150)));
+    assert!(!sync.is_behind(true, at(1_700)), "its watch may be delayed between two answers");
+    assert!(sync.is_behind(true, at(1_800)));
+    sync.note_own(revision(7));
+    assert!(!sync.is_behind(false, at(1_900)));
 }
 
-/// The answer of `other` to a question of `core`, taken.
-fn share_proof(core: &mut RelayCore, other: &RelayCore, now: Tick) -> Option<PeerVerdict> {
-    let welcome = LoadNote::Welcome {
+/// Passes the answer of `other` to a proof query of `core` back to `core`.
+fn exchange_proof(core: &mut RelayCore, other: &RelayCore, now: Tick) -> Option<PeerVerdict> {
+    let acknowledgement = LoadNote::Welcome {
         target: name("t"),
         entries: 2,
         pace_percent: 100,
@@ -159,7 +164,7 @@
         list_mark: None,
         config_mark: None,
     };
-    core.take_note(welcome, now);
+    core.take_note(acknowledgement, now);
     let (_, LoadNote::AskProof { nonce }) = core.ask_proof(now)? else { return None };
     let answer = other.tell_proof(nonce, now)?;
     let LoadNote::TellProof { nonce, revision, config_digest, proof_age_ms, evacuated } = answer
@@ -170,76 +175,83 @@
     Some(core.take_proof(&PeerProof { nonce, revision, config_digest, age, evacuated }, now))
 }
 
-/// A note that nobody can prove lets nobody in beyond a lease, whoever sent it.
+/// A false update admits no request beyond the end of the lease, whichever process sent it.
 #[test]
-fn what_is_told_falsely_ends_with_the_lease() {
+fn a_false_update_ends_with_the_lease() {
     let (mut honest, mut deceived) = (entry(1), entry(2));
     let mut liar = entry(3);
-    let forged = watch(&mut liar, 900, config(9, &["k1", "stolen"]), at(1_500));
+    let forged = watch_update(&mut liar, 900, config(9, &["k1", "stolen"]), at(1_500));
     assert!(deceived.take_delta(&forged, at(1_510)));
-    assert!(is_let_in(&mut deceived, "stolen", at(1_520)), "until it has to be proven");
-    assert!(deceived.tell_proof(7, at(1_530)).is_none(), "it proves nothing to others");
+    assert!(is_admitted(&mut deceived, "stolen", at(1_520)), "admitted until it has to be proven");
+    assert!(
+        deceived.tell_proof(7, at(1_530)).is_none(),
+        "an unconfirmed configuration proves nothing to others"
+    );
     honest.take_read(read(5, None), at(3_000));
-    let verdict = share_proof(&mut deceived, &honest, at(3_100));
-    assert_eq!(verdict, Some(PeerVerdict::Useless), "an earlier revision proves no later one");
-    assert!(!is_let_in(&mut deceived, "stolen", at(5_760)), "the lease is over");
+    let verdict = exchange_proof(&mut deceived, &honest, at(3_100));
+    assert_eq!(
+        verdict,
+        Some(PeerVerdict::Useless),
+        "an earlier revision does not prove a later one"
+    );
+    assert!(!is_admitted(&mut deceived, "stolen", at(5_760)), "the lease has expired");
     assert!(deceived.take_read(read(5, Some(config(1, &["k1"]))), at(5_800)));
-    assert!(is_let_in(&mut deceived, "k1", at(5_810)));
-    assert!(!is_let_in(&mut deceived, "stolen", at(5_810)));
+    assert!(is_admitted(&mut deceived, "k1", at(5_810)));
+    assert!(!is_admitted(&mut deceived, "stolen", at(5_810)));
     assert_eq!(deceived.config_revision(), revision(5));
 }
 
-/// The same under the number of a revision that there is.
+/// The same with the number of an existing revision.
 #[test]
-fn what_is_told_falsely_of_a_true_revision_ends_too() {
+fn a_false_update_of_an_existing_revision_ends_with_the_lease() {
     let (mut honest, mut deceived, mut liar) = (entry(1), entry(2), entry(3));
-    watch(&mut honest, 6, config(2, &["k2"]), at(1_500));
+    watch_update(&mut honest, 6, config(2, &["k2"]), at(1_500));
     honest.take_read(read(6, None), at(3_000));
-    let forged = watch(&mut liar, 6, config(2, &["stolen"]), at(1_500));
+    let forged = watch_update(&mut liar, 6, config(2, &["stolen"]), at(1_500));
     deceived.take_delta(&forged, at(1_510));
-    let verdict = share_proof(&mut deceived, &honest, at(3_100));
-    assert_eq!(verdict, Some(PeerVerdict::Useless), "the same revision with another content");
+    let verdict = exchange_proof(&mut deceived, &honest, at(3_100));
+    assert_eq!(verdict, Some(PeerVerdict::Useless), "the same revision with different content");
     assert!(deceived.take_read(read(6, Some(config(2, &["k2"]))), at(3_200)));
-    assert!(is_let_in(&mut deceived, "k2", at(3_210)));
-    assert!(!is_let_in(&mut deceived, "stolen", at(3_210)));
+    assert!(is_admitted(&mut deceived, "k2", at(3_210)));
+    assert!(!is_admitted(&mut deceived, "stolen", at(3_210)));
 }
 
 #[test]
-fn the_own_watch_goes_before_what_another_told_of_the_same_revision() {
+fn the_own_watch_overrides_an_update_of_the_same_revision() {
     let (mut deceived, mut liar) = (entry(1), entry(2));
-    let forged = watch(&mut liar, 6, config(2, &["stolen"]), at(1_500));
+    let forged = watch_update(&mut liar, 6, config(2, &["stolen"]), at(1_500));
     deceived.take_delta(&forged, at(1_510));
     deceived.take_news(config_news(revision(6), config(2, &["k2"])), at(1_520));
-    assert!(is_let_in(&mut deceived, "k2", at(1_530)));
-    assert!(!is_let_in(&mut deceived, "stolen", at(1_530)));
+    assert!(is_admitted(&mut deceived, "k2", at(1_530)));
+    assert!(!is_admitted(&mut deceived, "stolen", at(1_530)));
 }
 
 #[test]
-fn what_is_told_truly_is_confirmed_by_another_entry() {
+fn a_true_update_is_confirmed_by_another_entry() {
     let (mut watcher, mut other) = (entry(1), entry(2));
-    let delta = watch(&mut watcher, 6, config(2, &["k2"]), at(1_500));
+    let delta = watch_update(&mut watcher, 6, config(2, &["k2"]), at(1_500));
     watcher.take_read(read(6, None), at(3_000));
     other.take_delta(&delta, at(1_510));
     assert!(!other.is_config_confirmed());
-    let verdict = share_proof(&mut other, &watcher, at(3_100));
+    let verdict = exchange_proof(&mut other, &watcher, at(3_100));
     assert!(matches!(verdict, Some(PeerVerdict::ProvenAt(_))));
     assert!(other.is_config_confirmed());
     assert!(other.tell_proof(7, at(3_200)).is_some());
 }
 
-/// A read that was under way when the news came says nothing of them.
+/// A read that was under way when the update arrived does not contradict it.
 #[test]
-fn an_earlier_read_does_not_refute_what_was_told_since() {
+fn an_earlier_read_does_not_refute_a_later_update() {
     let (mut watcher, mut other) = (entry(1), entry(2));
-    let delta = watch(&mut watcher, 6, config(2, &["k2"]), at(1_500));
+    let delta = watch_update(&mut watcher, 6, config(2, &["k2"]), at(1_500));
     other.take_delta(&delta, at(1_510));
     assert!(!other.take_read(read(5, Some(config(1, &["k1"]))), at(1_490)));
-    assert!(is_let_in(&mut other, "k2", at(1_520)));
+    assert!(is_admitted(&mut other, "k2", at(1_520)));
 }
 
-/// A change leads from each state on its way to the same end.
+/// A delta leads from each intermediate state to the same result.
 #[test]
-fn a_change_leads_there_from_each_state_on_its_way() {
+fn a_delta_applies_to_each_intermediate_state() {
     fn random_config(version: u64, picks: &[u8]) -> RelayConfig {
         let paths: BTreeSet<u8> = picks.iter().map(|pick| pick % 7).collect();
         let keys: BTreeSet<u8> = picks.iter().map(|pick| pick / 7 % 5).collect();
@@ -263,13 +275,13 @@
         let states = [(1, first), (2, between), (3, last)];
         let [first, between, last] = states.map(|(version, picks)| random_config(version, &picks));
         let delta = ConfigDelta::between(&first, revision(1), &last, revision(9));
-        // Items that changed and changed back on the way are not in it.
-        let kept = |state: &RelayConfig| delta.apply(state).digest() == last.digest();
-        kept(&first) && kept(&last) && {
-            let on = ConfigDelta::between(&first, revision(1), &between, revision(5));
-            let half = on.apply(&first);
-            let rest = ConfigDelta::between(&between, revision(5), &last, revision(9));
-            rest.apply(&half).digest() == last.digest()
+        // Items that changed and changed back in between are not in the delta.
+        let leads_to_last = |state: &RelayConfig| delta.apply(state).digest() == last.digest();
+        leads_to_last(&first) && leads_to_last(&last) && {
+            let first_half = ConfigDelta::between(&first, revision(1), &between, revision(5));
+            let middle = first_half.apply(&first);
+            let second_half = ConfigDelta::between(&between, revision(5), &last, revision(9));
+            second_half.apply(&middle).digest() == last.digest()
         }
     }
     check(property as fn(Vec<u8>, Vec<u8>, Vec<u8>) -> bool);
--- a/tests/relay/notes.rs
+++ b/tests/relay/notes.rs
@@ -1,4 +1,4 @@
-//! What agents tell entries of one another.
+//! Messages that agents relay between entries.
 
 use std::net::SocketAddr;
 
@@ -18,17 +18,17 @@
 }
 
 fn subscribe(set: &mut SubscriberSet, number: u8, millis: u64) -> Vec<NoteOut> {
-    let note = LoadNote::Subscribe {
+    let message = LoadNote::Subscribe {
         entry: u64::from(number),
         proof_age_ms: None,
         list_mark: None,
         config_mark: None,
     };
-    set.on_note(&note, entry(number), 100, at(millis))
+    set.on_note(&message, entry(number), 100, at(millis))
 }
 
 #[test]
-fn a_note_goes_to_all_others_and_to_those_that_come_later() {
+fn a_message_reaches_all_other_entries_and_later_subscribers() {
     let mut set = SubscriberSet::default();
     subscribe(&mut set, 1, 0);
     subscribe(&mut set, 2, 0);
@@ -36,11 +36,11 @@
     assert_eq!(out, [NoteOut { to: entry(2), note: placed(1, 7) }]);
     let out = subscribe(&mut set, 3, 2);
     assert!(out.contains(&NoteOut { to: entry(3), note: placed(1, 7) }));
-    assert_eq!(subscribe(&mut set, 3, 3).len(), 1, "told once");
+    assert_eq!(subscribe(&mut set, 3, 3).len(), 1, "streams are sent once");
 }
 
 #[test]
-fn an_entry_that_is_not_heard_of_is_gone_with_its_streams() {
+fn an_expired_entry_is_dropped_with_its_streams() {
     let mut set = SubscriberSet::default();
     subscribe(&mut set, 1, 0);
     set.on_note(&placed(1, 7), entry(1), 100, at(1));
@@ -51,30 +51,30 @@
 }
 
 #[test]
-fn a_restarted_entry_is_another_one() {
+fn a_restarted_entry_counts_as_a_new_one() {
     let mut set = SubscriberSet::default();
     subscribe(&mut set, 1, 0);
     subscribe(&mut set, 2, 0);
     set.on_note(&placed(1, 7), entry(1), 100, at(1));
-    let note =
+    let message =
         LoadNote::Subscribe { entry: 9, proof_age_ms: None, list_mark: None, config_mark: None };
-    let out = set.on_note(&note, entry(1), 100, at(10));
+    let out = set.on_note(&message, entry(1), 100, at(10));
     let gone = LoadNote::EntryGone { target: name("t"), entry: 1 };
     assert!(out.contains(&NoteOut { to: entry(2), note: gone }));
 }
 
 #[test]
-fn a_note_fits_a_datagram() {
+fn a_message_fits_a_datagram() {
     let long = "i".repeat(64);
     let key = StreamKey { entry: u64::MAX, number: u64::MAX };
-    let note = LoadNote::Placed { target: name(&long), key, load: short_load() };
-    let bytes = note.to_bytes().unwrap();
+    let message = LoadNote::Placed { target: name(&long), key, load: short_load() };
+    let bytes = message.to_bytes().unwrap();
     assert!(bytes.len() < MAX_NOTE);
-    assert_eq!(LoadNote::from_bytes(&bytes).unwrap(), note);
+    assert_eq!(LoadNote::from_bytes(&bytes).unwrap(), message);
 }
 
 #[test]
-fn bytes_that_are_no_note_are_refused() {
+fn invalid_bytes_do_not_panic() {
     #[expect(clippy::needless_pass_by_value, reason = "what quickcheck gives")]
     fn property(bytes: Vec<u8>) -> bool {
         let _ = LoadNote::from_bytes(&bytes);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn an_entry_is_told_of_the_newest_proof_of_the_others() {
+fn an_acknowledgement_reports_the_newest_proof_of_the_others() {
     let mut set = SubscriberSet::default();
     let proof = |entry, proof_age_ms| LoadNote::Subscribe {
         entry,
@@ -95,6 +95,8 @@
     set.on_note(&proof(1, Some(300)), entry(1), 100, at(1_000));
     set.on_note(&proof(2, None), entry(2), 100, at(1_000));
     let out = set.on_note(&proof(3, Some(10)), entry(3), 100, at(1_200));
-    let LoadNote::Welcome { proof_age_ms, .. } = out[0].note else { panic!("no welcome") };
+    let LoadNote::Welcome { proof_age_ms, .. } = out[0].note else {
+        panic!("not an acknowledgement")
+    };
     assert_eq!(proof_age_ms, Some(500));
 }
--- a/tests/relay/proofs.rs
+++ b/tests/relay/proofs.rs
@@ -1,4 +1,4 @@
-//! How entries take over one another's proof that a configuration is current.
+//! Proofs that a configuration is current, as entries adopt them from one another.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,7 +17,7 @@
     ([10, 0, 1, 2], 7000).into()
 }
 
-/// An entry that proved revision `revision` by a read sent at `proven_at`.
+/// An entry that proved revision `at_revision` by a read sent at `proven_at`.
 fn entry(number: u64, at_revision: u64, proven_at: Tick) -> RelayCore {
     let mut core = RelayCore::new(limits(StalePolicy::FailClosed), number);
     core.take_config(
@@ -28,9 +28,9 @@
     core
 }
 
-/// Tells `core` that the peer proved its configuration `age` before `now`.
-fn hear_of_peer(core: &mut RelayCore, age: u32, now: Tick) {
-    let note = LoadNote::Welcome {
+/// Reports to `core` that the peer proved its configuration `age` before `now`.
+fn report_peer(core: &mut RelayCore, age: u32, now: Tick) {
+    let message = LoadNote::Welcome {
         target: name("t"),
         entries: 2,
         pace_percent: 100,
@@ -40,13 +40,13 @@
         list_mark: None,
         config_mark: None,
     };
-    core.take_note(note, now);
+    core.take_note(message, now);
 }
 
-fn question(core: &mut RelayCore, now: Tick) -> u64 {
-    let (address, note) = core.ask_proof(now).expect("a question");
+fn send_query(core: &mut RelayCore, now: Tick) -> u64 {
+    let (address, message) = core.ask_proof(now).expect("a query");
     assert_eq!(address, peer());
-    let LoadNote::AskProof { nonce } = note else { panic!("no question: {note:?}") };
+    let LoadNote::AskProof { nonce } = message else { panic!("not a query: {message:?}") };
     nonce
 }
 
@@ -54,28 +54,28 @@
     let LoadNote::TellProof { nonce, revision, config_digest, proof_age_ms, evacuated } =
         peer.tell_proof(nonce, now)?
     else {
-        panic!("no answer")
+        panic!("not an answer")
     };
     Some(PeerProof { nonce, revision, config_digest, age: ms(proof_age_ms.into()), evacuated })
 }
 
 #[test]
-fn a_newer_proof_renews_the_lease_from_the_moment_of_the_question() {
+fn a_newer_proof_renews_the_lease_from_the_time_of_the_query() {
     let other = entry(2, 5, at(9_000));
     let mut core = entry(1, 5, at(7_000));
-    hear_of_peer(&mut core, 1_000, at(10_000));
-    let nonce = question(&mut core, at(10_000));
+    report_peer(&mut core, 1_000, at(10_000));
+    let nonce = send_query(&mut core, at(10_000));
     let proof = answer(&other, nonce, at(10_002)).unwrap();
     assert_eq!(core.take_proof(&proof, at(10_003)), PeerVerdict::ProvenAt(at(10_000) - proof.age));
     assert_eq!(core.lease().proven_at(), Some(at(8_997)));
 }
 
 #[test]
-fn an_answer_is_taken_once_and_only_to_its_question() {
+fn an_answer_applies_once_and_only_to_its_query() {
     let other = entry(2, 5, at(9_000));
     let mut core = entry(1, 5, at(7_000));
-    hear_of_peer(&mut core, 1_000, at(10_000));
-    let nonce = question(&mut core, at(10_000));
+    report_peer(&mut core, 1_000, at(10_000));
+    let nonce = send_query(&mut core, at(10_000));
     let proof = answer(&other, nonce, at(10_002)).unwrap();
     let forged = PeerProof { nonce: nonce ^ 1, age: Duration::ZERO, ..proof.clone() };
     assert_eq!(core.take_proof(&forged, at(10_003)), PeerVerdict::Useless);
@@ -88,49 +88,49 @@
 }
 
 #[test]
-fn who_has_an_earlier_configuration_reads_for_itself() {
+fn an_entry_with_an_earlier_configuration_reads_the_store() {
     let other = entry(2, 6, at(9_000));
     let mut core = entry(1, 5, at(7_000));
-    hear_of_peer(&mut core, 1_000, at(10_000));
-    let nonce = question(&mut core, at(10_000));
+    report_peer(&mut core, 1_000, at(10_000));
+    let nonce = send_query(&mut core, at(10_000));
     let proof = answer(&other, nonce, at(10_002)).unwrap();
     assert_eq!(core.take_proof(&proof, at(10_003)), PeerVerdict::Behind);
     assert_eq!(core.lease().proven_at(), Some(at(7_000)));
 }
 
 #[test]
-fn a_later_configuration_is_current_where_an_earlier_one_was_proven() {
+fn a_later_configuration_is_current_if_an_earlier_one_was_proven() {
     let other = entry(2, 4, at(9_000));
     let mut core = entry(1, 5, at(7_000));
-    hear_of_peer(&mut core, 1_000, at(10_000));
-    let nonce = question(&mut core, at(10_000));
+    report_peer(&mut core, 1_000, at(10_000));
+    let nonce = send_query(&mut core, at(10_000));
     let proof = answer(&other, nonce, at(10_002)).unwrap();
     assert!(matches!(core.take_proof(&proof, at(10_003)), PeerVerdict::ProvenAt(_)));
 }
 
 #[test]
-fn nobody_is_asked_who_gains_little_or_twice() {
+fn a_peer_is_queried_once_and_only_for_a_sufficiently_newer_proof() {
     let mut core = entry(1, 5, at(9_000));
-    hear_of_peer(&mut core, 500, at(10_000));
-    assert_eq!(core.ask_proof(at(10_000)), None, "half a second newer");
+    report_peer(&mut core, 500, at(10_000));
+    assert_eq!(core.ask_proof(at(10_000)), None, "only half a second newer");
     let mut core = entry(1, 5, at(7_000));
-    hear_of_peer(&mut core, 500, at(10_000));
-    question(&mut core, at(10_000));
+    report_peer(&mut core, 500, at(10_000));
+    send_query(&mut core, at(10_000));
     assert_eq!(core.ask_proof(at(10_010)), None);
 }
 
 #[test]
-fn who_holds_no_proof_tells_nothing() {
+fn an_entry_without_a_proof_does_not_answer() {
     assert!(entry(2, 5, at(1_000)).tell_proof(7, at(6_000)).is_none());
 }
 
-/// A process that has just started can not name a moment before its start.
+/// A process that has just started can not represent a time before its start.
 #[test]
-fn a_proof_from_before_the_start_of_a_process_is_not_taken() {
-    let mut share = ProofShare::default();
-    share.note_source(peer(), at(900));
+fn a_proof_from_before_the_start_of_the_process_is_rejected() {
+    let mut sync = ProofShare::default();
+    sync.note_source(peer(), at(900));
     let nonce = 7;
-    share.ask(nonce, at(0), at(950)).unwrap();
+    sync.ask(nonce, at(0), at(950)).unwrap();
     let proof = PeerProof {
         nonce,
         revision: revision(5),
@@ -138,17 +138,17 @@
         age: ms(1_000),
         evacuated: Vec::new(),
     };
-    assert_eq!(share.take_answer(&proof, revision(5)), PeerVerdict::Useless);
+    assert_eq!(sync.take_answer(&proof, revision(5)), PeerVerdict::Useless);
 }
 
-/// Past failure: entries that the store turned away while keys were taken away refused
-/// whoever needs a key for nine seconds, and the callers came late to others.
+/// Guards against this failure: entries that the store turns away while keys are revoked reject
+/// requests that need a key for nine seconds, and their callers reach other entries late.
 #[test]
-fn an_entry_that_the_store_turns_away_serves_on_by_the_copy_of_another() {
+fn an_entry_that_the_store_turns_away_serves_by_another_entrys_copy() {
     let other = entry(2, 6, at(9_000));
     let mut core = entry(1, 5, at(5_000));
-    hear_of_peer(&mut core, 1_000, at(9_700));
-    let nonce = question(&mut core, at(9_700));
+    report_peer(&mut core, 1_000, at(9_700));
+    let nonce = send_query(&mut core, at(9_700));
     let proof = answer(&other, nonce, at(9_702)).unwrap();
     assert_eq!(core.take_proof(&proof, at(10_003)), PeerVerdict::Behind);
     let bytes = other.config_copy().unwrap().to_bytes().unwrap();
@@ -157,36 +157,39 @@
     assert_eq!(core.lease().proven_at(), Some(at(9_700) - proof.age));
 }
 
-/// What a copy holds may be older than what was proven, where the entry that was asked
-/// has restarted meanwhile.
+/// A copy may be older than the proof, if the queried entry has restarted in between.
 #[test]
 fn a_copy_of_an_earlier_configuration_proves_nothing() {
     let (other, late) = (entry(2, 8, at(9_000)), entry(2, 7, at(9_000)));
     let mut core = entry(1, 5, at(5_000));
-    hear_of_peer(&mut core, 1_000, at(9_700));
-    let nonce = question(&mut core, at(9_700));
+    report_peer(&mut core, 1_000, at(9_700));
+    let nonce = send_query(&mut core, at(9_700));
     core.take_proof(&answer(&other, nonce, at(9_702)).unwrap(), at(9_703));
-    assert!(core.take_copy(&late.config_copy().unwrap(), at(0)), "it is a step forward");
+    assert!(core.take_copy(&late.config_copy().unwrap(), at(0)), "a later version applies");
     assert_eq!(core.lease().proven_at(), Some(at(5_000)));
-    assert!(!core.take_copy(&entry(3, 6, at(9_000)).config_copy().unwrap(), at(0)), "a step back");
+    assert!(
+        !core.take_copy(&entry(3, 6, at(9_000)).config_copy().unwrap(), at(0)),
+        "an earlier version does not apply"
+    );
     assert_eq!(core.rules().version(), 7);
 }
 
-/// In an outage a hundred entries asked the store 250 times a second for nothing.
+/// Guards against the load of probes in an outage: without the limit, 100 entries call the store
+/// 250 times a second in vain.
 #[test]
-fn a_store_that_does_not_answer_is_asked_by_a_few() {
-    let probes = |entries: usize| {
-        let throws = (0..1_000).map(|throw| f64::from(throw) / 1_000.0);
-        throws.filter(|throw| ProofShare::probes(entries, *throw)).count()
+fn a_store_that_does_not_answer_is_probed_by_a_few_entries() {
+    let count_probes = |entries: usize| {
+        let samples = (0..1_000).map(|jitter| f64::from(jitter) / 1_000.0);
+        samples.filter(|jitter| ProofShare::probes(entries, *jitter)).count()
     };
-    assert_eq!(probes(1), 1_000, "one alone always asks");
-    assert_eq!(probes(16), 1_000);
-    assert_eq!(probes(100), 161);
-    assert!(probes(400) >= 40, "somebody does");
+    assert_eq!(count_probes(1), 1_000, "a single entry always probes");
+    assert_eq!(count_probes(16), 1_000);
+    assert_eq!(count_probes(100), 161);
+    assert!(count_probes(400) >= 40, "at least a few entries probe");
 }
 
 #[test]
-fn bytes_that_are_no_copy_are_refused() {
+fn invalid_bytes_are_rejected_as_a_copy() {
     #[expect(clippy::needless_pass_by_value, reason = "what quickcheck gives")]
     fn property(bytes: Vec<u8>) -> bool {
         ConfigCopy::from_bytes(&bytes).is_err()
@@ -194,19 +197,19 @@
     check(property as fn(Vec<u8>) -> bool);
 }
 
-/// Whatever pauses and networks do between the question and its answer, the proof
-/// that is taken over is never newer than the one that was given.
+/// Whatever delays pauses and networks add between the query and its answer, the adopted proof is
+/// never newer than the original.
 #[test]
-fn a_proof_never_grows_newer_on_its_way() {
+fn a_proof_never_becomes_newer_in_transit() {
     fn property(read_at: u16, asked_after: u16, on_its_way: u16, back: u16) -> bool {
-        // One clock for both, which neither of them reads of the other.
+        // One clock for both entries, of which neither reads the other's time.
         let read_at = at(10_000 + u64::from(read_at));
         let asked_at = read_at + ms(u64::from(asked_after) % 4_000);
         let answered_at = asked_at + ms(u64::from(on_its_way) % 6_000);
         let other = entry(2, 5, read_at);
         let mut core = entry(1, 5, at(1_000));
-        hear_of_peer(&mut core, 0, asked_at);
-        let nonce = question(&mut core, asked_at);
+        report_peer(&mut core, 0, asked_at);
+        let nonce = send_query(&mut core, asked_at);
         let Some(proof) = answer(&other, nonce, answered_at) else { return true };
         let _ = answered_at + ms(back.into());
         match core.take_proof(&proof, at(10_003)) {
@@ -217,8 +220,8 @@
     check(property as fn(u16, u16, u16, u16) -> bool);
 }
 
-/// A hundred entries that share a proof read the store a few times for each lease,
-/// where each read it before.
+/// A hundred entries that share a proof read the store a few times for each lease, not once per
+/// entry.
 #[test]
 fn a_fleet_reads_the_store_a_few_times() {
     const ENTRIES: u64 = 100;
@@ -233,11 +236,11 @@
             if due[number] > now {
                 continue;
             }
-            // What agents would name: the newest proof of the others, a step ago.
+            // What agents would report: the newest proof of the others, one step ago.
             let newest = cores.iter().max_by_key(|core| core.lease().proven_at()).unwrap();
             let newest_age = newest.lease().age(now).unwrap();
             let proof = newest.tell_proof(0, now);
-            hear_of_peer(&mut cores[number], newest_age.as_millis() as u32, now);
+            report_peer(&mut cores[number], newest_age.as_millis() as u32, now);
             if let Some((_, LoadNote::AskProof { nonce })) = cores[number].ask_proof(now)
                 && let Some(LoadNote::TellProof { revision, config_digest, proof_age_ms, .. }) =
                     proof
@@ -254,6 +257,6 @@
             assert!(cores[number].lease().is_held(now));
         }
     }
-    // Each lasts for two seconds at least: alone, an entry read some 23 times.
+    // Each proof lasts for two seconds at least: a single entry would read some 23 times.
     assert!((20..=80).contains(&reads), "{reads} reads of {ENTRIES} entries");
 }
--- a/tests/relay/rules.rs
+++ b/tests/relay/rules.rs
@@ -29,12 +29,12 @@
     RelayCore::new(limits(StalePolicy::FailClosed), 1)
 }
 
-fn open_core() -> RelayCore {
+fn fail_open_core() -> RelayCore {
     RelayCore::new(limits(StalePolicy::FailOpen), 1)
 }
 
-/// What an agent tells of the newest proof of another entry.
-fn welcome(proof_age_ms: u32) -> LoadNote {
+/// An agent's report of the newest proof of another entry.
+fn acknowledgement(proof_age_ms: u32) -> LoadNote {
     let proof_age_ms = Some(proof_age_ms);
     LoadNote::Welcome {
         target: name("t"),
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_lower_version_is_not_taken() {
+fn a_lower_version_is_rejected() {
     let mut core = core();
     assert!(core.take_config(Some(config(3, &["k"])), at(0)));
     assert!(!core.take_config(Some(config(2, &["q"])), at(1)));
@@ -94,21 +94,21 @@
 }
 
 #[test]
-fn failing_open_serves_on_by_the_last_proven_configuration() {
-    let mut core = open_core();
+fn failing_open_keeps_serving_by_the_last_proven_configuration() {
+    let mut core = fail_open_core();
     core.take_config(Some(config(1, &["k"])), at(0));
     assert!(core.admit("h", "/a/x", Some("k"), at(60_000)).is_ok());
-    // What it does not know may have come since: that is no final answer.
+    // The caller's key may have been added since, so this is no final answer.
     assert_eq!(core.admit("h", "/a/x", Some("q"), at(4_000)).unwrap_err(), Refusal::BadKey);
     assert_eq!(core.admit("h", "/a/x", Some("q"), at(60_000)).unwrap_err(), Refusal::NotFresh);
     assert_eq!(core.admit("g", "/a/x", Some("k"), at(60_000)).unwrap_err(), Refusal::NotFresh);
 }
 
 #[test]
-fn failing_open_lets_nobody_in_before_a_configuration_was_proven() {
-    let mut core = open_core();
+fn failing_open_admits_no_request_before_a_configuration_is_proven() {
+    let mut core = fail_open_core();
     assert_eq!(core.admit("h", "/a/x", Some("k"), at(1)).unwrap_err(), Refusal::NotFresh);
-    // A watch tells of it, and proves nothing.
+    // An update from a watch proves nothing.
     core.take_news(config_news(revision(1), config(1, &["k"])), at(0));
     assert_eq!(core.admit("h", "/a/x", Some("k"), at(2)).unwrap_err(), Refusal::NotFresh);
 }
@@ -122,50 +122,53 @@
 }
 
 #[test]
-fn an_entry_that_is_cut_off_alone_sends_callers_to_others() {
-    let mut core = open_core();
+fn an_entry_that_alone_is_cut_off_is_not_ready() {
+    let mut core = fail_open_core();
     core.take_list(Vec::new(), false, at(0));
     core.take_config(Some(config(1, &["k"])), at(0));
-    core.take_note(welcome(500), at(4_000));
+    core.take_note(acknowledgement(500), at(4_000));
     assert!(core.is_ready(at(4_000)), "its own proof still holds");
-    core.take_note(welcome(500), at(6_000));
+    core.take_note(acknowledgement(500), at(6_000));
     assert!(!core.is_ready(at(6_000)));
-    assert!(core.admit("h", "/a/x", Some("k"), at(6_000)).is_ok(), "who comes is served");
+    assert!(
+        core.admit("h", "/a/x", Some("k"), at(6_000)).is_ok(),
+        "requests that arrive are served"
+    );
     core.take_config(None, at(6_100));
     assert!(core.is_ready(at(6_200)));
 }
 
 #[test]
-fn entries_that_are_all_cut_off_all_serve_on() {
-    let mut core = open_core();
+fn entries_that_are_all_cut_off_stay_ready() {
+    let mut core = fail_open_core();
     core.take_list(Vec::new(), false, at(0));
     core.take_config(Some(config(1, &["k"])), at(0));
-    // The other's last read was sent 2.6 s later.
-    core.take_note(welcome(2_400), at(5_000));
+    // The other entry sent its last read 2.6 s later.
+    core.take_note(acknowledgement(2_400), at(5_000));
     assert!(core.is_ready(at(5_000)));
     assert!(core.is_ready(at(60_000)));
 }
 
 #[test]
-fn a_removed_key_opens_nothing_after_the_bound_where_the_entry_fails_closed() {
-    // Reads that answer or not, a removal at any time, and a look at any time.
-    fn holds(reads: Vec<(u16, bool)>, removed: u16, looked: u16) -> bool {
+fn a_removed_key_is_rejected_after_the_bound_if_the_entry_fails_closed() {
+    // Reads with or without an answer, and a removal and a request at any time.
+    fn holds(reads: Vec<(u16, bool)>, removed: u16, requested: u16) -> bool {
         let mut core = core();
         let mut now = 0;
         core.take_config(Some(config(1, &["k"])), at(0));
-        for (step, is_answered) in reads {
-            now += u64::from(step);
-            if now > u64::from(looked) {
+        for (interval, is_answered) in reads {
+            now += u64::from(interval);
+            if now > u64::from(requested) {
                 break;
             }
             if is_answered {
                 let is_removed = now >= u64::from(removed);
-                let news = is_removed.then(|| config(2, &["q"]));
-                core.take_config(news, at(now));
+                let update = is_removed.then(|| config(2, &["q"]));
+                core.take_config(update, at(now));
             }
         }
-        let is_let_in = core.admit("h", "/a/x", Some("k"), at(looked.into())).is_ok();
-        !is_let_in || u64::from(looked) < u64::from(removed) + 5_000
+        let is_admitted = core.admit("h", "/a/x", Some("k"), at(requested.into())).is_ok();
+        !is_admitted || u64::from(requested) < u64::from(removed) + 5_000
     }
     check(holds as fn(Vec<(u16, bool)>, u16, u16) -> bool);
 }
--- a/tests/relay/watch_pace.rs
+++ b/tests/relay/watch_pace.rs
@@ -1,4 +1,4 @@
-//! How long watches of the store wait.
+//! Wait times of watches of the store.
 
 use shalelane::relay::discovery::watch_pace::{
     NEWS_STEP, WatchEnd, delay_after, list_rest, watch_wait,
@@ -7,44 +7,44 @@
 use crate::fixture::{check, ms};
 
 #[test]
-fn a_watch_ends_before_the_store_forgets_its_beginning() {
+fn a_watch_ends_before_the_store_forgets_its_start_position() {
     fn property(history: u16) -> bool {
         let history = ms(u64::from(history));
         watch_wait(history) + NEWS_STEP <= history.max(ms(1_200))
     }
     check(property as fn(u16) -> bool);
-    assert_eq!(watch_wait(ms(600_000)), ms(25_000), "an answer is worth its price");
+    assert_eq!(watch_wait(ms(600_000)), ms(25_000), "bounded by the cost of a watch");
 }
 
 #[test]
-fn a_watch_that_waited_and_was_forgotten_is_followed_by_a_read_at_once() {
+fn a_long_watch_with_a_forgotten_position_is_followed_by_an_immediate_read() {
     assert!(delay_after(WatchEnd::Forgotten, ms(15_000)).is_zero());
 }
 
 #[test]
-fn watches_that_end_again_and_again_do_not_ask_in_a_loop() {
+fn watches_that_keep_ending_do_not_call_the_store_in_a_tight_loop() {
     assert_eq!(delay_after(WatchEnd::Forgotten, ms(4)), NEWS_STEP);
     assert_eq!(delay_after(WatchEnd::Failed, ms(4)), NEWS_STEP);
     assert_eq!(delay_after(WatchEnd::Failed, ms(15_000)), NEWS_STEP);
 }
 
-/// A fleet that starts as one: targets are listed one after the other for two seconds, and
-/// every entry watches until it knows of others that do.
+/// When a whole fleet starts at once, targets are listed one after the other for two seconds, and
+/// every entry watches until it learns of other watchers.
 #[test]
-fn a_start_of_the_whole_fleet_takes_a_few_answers_of_each_entry() {
+fn a_start_of_the_whole_fleet_takes_few_answers_per_entry() {
     let (start, bound) = (ms(300), ms(3_000));
-    let mut now = start;
+    let mut age = start;
     let mut answers = 0;
-    while now < ms(2_300) {
-        now += list_rest(now, bound);
+    while age < ms(2_300) {
+        age += list_rest(age, bound);
         answers += 1;
     }
     assert!(answers <= 6, "{answers} answers");
-    assert_eq!(list_rest(start, bound), ms(200), "the first come soon");
+    assert_eq!(list_rest(start, bound), ms(200), "the first answers come soon");
 }
 
 #[test]
-fn a_leaving_target_is_heard_of_within_its_bound_at_any_age() {
+fn a_leaving_target_is_seen_within_its_bound_at_any_process_age() {
     fn property(age: u16, bound: u16) -> bool {
         let bound = ms(u64::from(bound));
         list_rest(ms(u64::from(age)), bound) <= bound / 2
