--- a/src/relay/discovery/follow_quarantine.rs
+++ b/src/relay/discovery/follow_quarantine.rs
@@ -24,11 +24,11 @@
     }
 }
 
-/// Waits for a moment, or for a signal that there is an earlier one.
+/// Waits until `due`, or until a signal that there is an earlier moment.
 async fn wait_until(shared: &RelayShared, due: Option<Tick>) {
     let notified = shared.quarantine_due.notified();
     let Some(due) = due else { return notified.await };
-    // After a wait that is cut short nothing is due yet.
+    // If the wait is cut short, the caller finds nothing due.
     drop(tokio::time::timeout(due.since(shared.now()), notified).await);
 }
 
--- a/src/relay/discovery/list_share.rs
+++ b/src/relay/discovery/list_share.rs
@@ -9,11 +9,11 @@
 //! learns of no watcher watches. So a small fleet, a fleet that has just started, and an entry that
 //! its peers can not reach all watch.
 //!
-//! An update states the revisions of the last change before it and of its own last change, so a
+//! An update states the revision of the last change before it and of the last change in it, so a
 //! lost update is noticed: by the next update, or by the revisions of watchers that agents report.
 //! Then the store is asked for what was missed. Other changes of the store raise its revision as
 //! well. So the revision up to which the list is known is kept apart from the revision of its last
-//! change: if the former were announced, all other entries would ask the store for nothing.
+//! change: if the former were announced, all other entries would call the store in vain.
 
 use std::time::Duration;
 
@@ -34,9 +34,9 @@
 /// between what the agents see do not make entries start and stop repeatedly.
 const MAX_WATCHERS: f64 = 13.0;
 
-/// Number of entries that watch from their start, before they learn of any other watcher. It holds
-/// for a fleet that has about as many entries as targets. A process that starts alone mostly
-/// listens to the existing watchers.
+/// Approximate number of entries that watch from their start, before they learn of any other
+/// watcher, in a fleet that has about as many entries as targets. A process that starts alone
+/// mostly listens to the existing watchers.
 const INITIAL_WATCHERS: f64 = 24.0;
 
 /// Interval between two decisions whether to watch: agents report about as often.
--- a/src/relay/peers/adviser.rs
+++ b/src/relay/peers/adviser.rs
@@ -48,9 +48,7 @@
     let mut ticks = tokio::time::interval(EXPIRY_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     // None of an agent's settings can change while it runs, and a reload signal must not end it.
-    let hangups = on_reload_signal(|| {
-        slog::info!(logger, "settings not reloaded: an agent's settings can not change")
-    });
+    let hangups = on_reload_signal(|| slog::info!(logger, "settings not reloaded: all are fixed"));
     tokio::pin!(stop);
     tokio::pin!(hangups);
     loop {
