--- a/src/relay/discovery/follow_config.rs
+++ b/src/relay/discovery/follow_config.rs
@@ -20,7 +20,7 @@
 /// that has it: some round trips between failure domains.
 const PEER_TIMEOUT: Duration = Duration::from_millis(40);
 
-/// Delay between two reads while the store does not answer: short compared to the duration of a
+/// Delay between two reads while the store does not answer: short compared to the validity of a
 /// proof, long compared to the cost of each read.
 const RETRY_DELAY: Duration = Duration::from_millis(400);
 
@@ -51,7 +51,8 @@
             Err(error) => {
                 record_lost_store(&shared, is_reachable, &error);
                 is_reachable = false;
-                // If only this entry is turned away, others prove the configuration for it.
+                // If the store turns away only this entry, other entries prove the configuration
+                // for it.
                 if renew_proof_from_peers(&shared).await {
                     tokio::time::sleep(TURNED_AWAY_INTERVAL).await;
                 } else {
--- a/src/relay/discovery/rules.rs
+++ b/src/relay/discovery/rules.rs
@@ -174,7 +174,7 @@
 }
 
 impl Access {
-    /// Returns `true` if its targets may be in a region, `None` for an unknown one: the
+    /// Returns `true` if its targets may be in a region, with `None` for an unknown region: the
     /// restrictions of the route and of the account both apply.
     #[must_use]
     pub fn permits_region(&self, region: Option<&str>) -> bool {
--- a/src/relay/discovery/watch_pace.rs
+++ b/src/relay/discovery/watch_pace.rs
@@ -24,7 +24,8 @@
 const BOUND_FRACTION: f64 = 0.4;
 
 /// Shortest delay between two of these answers: targets that start together with a process are
-/// listed some hundred milliseconds apart, and requests suffer from each missing one.
+/// listed some hundred milliseconds apart, and each target that is seen late is costly for
+/// requests.
 const MIN_LIST_DELAY: Duration = Duration::from_millis(200);
 
 /// Fraction of the process's age that passes between two of these answers in its first seconds.
