--- a/src/relay/discovery/config_delta.rs
+++ b/src/relay/discovery/config_delta.rs
@@ -76,17 +76,17 @@
 }
 
 impl ConfigDelta {
-    /// Computes the changes from `old`, of revision `since`, to `new`, of revision `mark`.
+    /// Computes the changes from `old`, of revision `since`, to `new`, of revision `new_revision`.
     #[must_use]
     pub fn between(
         old: &RelayConfig,
         since: StoreRevision,
         new: &RelayConfig,
-        mark: StoreRevision,
+        new_revision: StoreRevision,
     ) -> Self {
         ConfigDelta {
             since,
-            mark,
+            mark: new_revision,
             version: new.version,
             routes: ItemChanges::between(&old.routes, &new.routes, route_key),
             services: ItemChanges::between(&old.services, &new.services, service_key),
--- a/tests/relay/list_news.rs
+++ b/tests/relay/list_news.rs
@@ -11,20 +11,20 @@
 
 use crate::fixture::{at, check, limits, name, record, revision};
 
-fn update(since: u64, mark: u64) -> ListNews {
-    ListNews { since: revision(since), mark: revision(mark), age_ms: 0, changes: Vec::new() }
+fn update(since: u64, until: u64) -> ListNews {
+    ListNews { since: revision(since), mark: revision(until), age_ms: 0, changes: Vec::new() }
 }
 
-/// The state of an entry that knows all changes up to `mark`.
-fn sync_at(mark: u64) -> ListShare {
+/// The state of an entry that knows all changes up to revision `number`.
+fn sync_at(number: u64) -> ListShare {
     let mut sync = ListShare::default();
-    sync.note_list(revision(mark), revision(mark));
+    sync.note_list(revision(number), revision(number));
     sync
 }
 
 /// The state of an entry that listens.
-fn listener_at(mark: u64) -> ListShare {
-    let mut sync = sync_at(mark);
+fn listener_at(number: u64) -> ListShare {
+    let mut sync = sync_at(number);
     sync.note_agent(50, None, at(0));
     assert!(sync.decide(1.0, 50, 0.0, at(1_000)));
     assert!(!sync.is_watching());
@@ -45,9 +45,9 @@
 }
 
 /// The result of a watch from revision `since` on.
-fn watched(changes: Vec<TargetChange>, since: u64, mark: u64, known_at: Tick) -> WatchedChanges {
-    let changes = changes.into_iter().map(|change| (revision(mark), change)).collect();
-    WatchedChanges { changes, since: revision(since), mark: revision(mark), known_at }
+fn watched(changes: Vec<TargetChange>, since: u64, until: u64, known_at: Tick) -> WatchedChanges {
+    let changes = changes.into_iter().map(|change| (revision(until), change)).collect();
+    WatchedChanges { changes, since: revision(since), mark: revision(until), known_at }
 }
 
 /// Guards against this failure: an entry receives changes from another entry before its own watch
