--- a/src/relay/peers/load_link.rs
+++ b/src/relay/peers/load_link.rs
@@ -55,13 +55,13 @@
                     self.send_beside(target.record.address, message);
                 }
             }
-            LoadNote::Suspected(report) => self.send_to_holders(core, report.digest, message),
-            LoadNote::Cleared(digest) => self.send_to_holders(core, *digest, message),
+            LoadNote::Suspected(report) => self.send_report(core, report.digest, message),
+            LoadNote::Cleared(digest) => self.send_report(core, *digest, message),
             _ => {}
         }
     }
 
-    fn send_to_holders(&self, core: &RelayCore, digest: RequestDigest, message: &LoadNote) {
+    fn send_report(&self, core: &RelayCore, digest: RequestDigest, message: &LoadNote) {
         for holder in suspect_holders(core, digest) {
             self.send_beside(holder, message);
         }
