--- a/src/relay/decide/end_tracker.rs
+++ b/src/relay/decide/end_tracker.rs
@@ -1,7 +1,7 @@
-//! Which lives of targets have ended, and which attempts were there.
+//! Matches broken attempts with the target instances that crashed.
 //!
-//! A connection that breaks may mean that its target has ended, or nothing of it. The
-//! word of the end comes from elsewhere, before or after.
+//! A broken connection may or may not mean that its target has crashed. The confirmation
+//! of the crash comes from another source, before or after the connection breaks.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -10,96 +10,99 @@
 use super::targets::TargetLife;
 use crate::time::Tick;
 
-/// Time between the end of an attempt and the word that its target has ended: four
-/// heartbeats of a target, and an answer of a slow store.
-const CONFIRM_SPAN: Duration = Duration::from_secs(10);
+/// Maximum time between a broken attempt and the confirmation that its target crashed:
+/// four heartbeats of a target, plus the response of a slow store.
+const CONFIRM_WINDOW: Duration = Duration::from_secs(10);
 
-/// Time for which an attempt's events came after which its target ended by something
-/// else: a cause ends its target soon after it begins there, within 0.11 s where it was
-/// seen.
-const SETTLED_SPAN: Duration = Duration::from_secs(2);
+/// Maximum time for which an attempt that crashes its target receives events. A request
+/// that causes a crash does so soon after it begins, within 0.11 s in the observed cases;
+/// an attempt that ran for longer than this was not the cause.
+const MAX_TIME_TO_CRASH: Duration = Duration::from_secs(2);
 
-/// Lives that ended lately: a few times as many as a failure domain has targets.
-const MOST_ENDED: usize = 512;
+/// Recently crashed instances to remember: a few times the targets of a failure domain.
+const MAX_CRASHED: usize = 512;
 
-/// Attempts that broke, at targets that are not known to have ended: 16 at each of 64.
-const MOST_BROKEN: usize = 1_024;
+/// Broken attempts to remember at targets without a confirmed crash: 16 at each of 64.
+const MAX_BROKEN: usize = 1_024;
 
-/// An attempt that broke, at a target that is not known to have ended.
+/// A broken attempt at a target without a confirmed crash.
 #[derive(Debug)]
 struct BrokenAttempt {
     digest: RequestDigest,
-    life: TargetLife,
+    instance: TargetLife,
     at: Tick,
 }
 
-/// Joins attempts that broke with the ends of their targets.
+/// Matches broken attempts with crashes of their targets.
 #[derive(Debug, Default)]
-pub struct EndTracker {
+pub struct CrashTracker {
     broken: VecDeque<BrokenAttempt>,
-    ended: VecDeque<(TargetLife, Tick)>,
+    crashed: VecDeque<(TargetLife, Tick)>,
 }
 
-impl EndTracker {
-    /// Notes that the connection of an attempt broke, whose events had come for `settled`.
-    /// Returns true where its target is known to have ended by that time.
-    pub fn note_broken(
+impl CrashTracker {
+    /// Records that the connection of an attempt broke after it had received events for
+    /// `streamed_for`.
+    ///
+    /// Returns `true` if the crash of its target is confirmed already.
+    pub fn record_broken(
         &mut self,
         digest: RequestDigest,
-        life: &TargetLife,
-        settled: Duration,
+        instance: &TargetLife,
+        streamed_for: Duration,
         now: Tick,
     ) -> bool {
-        if settled >= SETTLED_SPAN {
+        if streamed_for >= MAX_TIME_TO_CRASH {
             return false;
         }
         self.expire(now);
-        if self.has_ended(life) {
+        if self.has_crashed(instance) {
             return true;
         }
-        self.broken.push_back(BrokenAttempt { digest, life: life.clone(), at: now });
-        if self.broken.len() > MOST_BROKEN {
+        self.broken.push_back(BrokenAttempt { digest, instance: instance.clone(), at: now });
+        if self.broken.len() > MAX_BROKEN {
             self.broken.pop_front();
         }
         false
     }
 
-    /// Notes that a life has ended without having said that it would. Returns the requests
-    /// whose attempts broke there.
-    pub fn note_ended(&mut self, life: &TargetLife, now: Tick) -> Vec<RequestDigest> {
+    /// Records that an instance ended without announcing its shutdown.
+    ///
+    /// Returns the requests whose attempts broke there.
+    pub fn record_crash(&mut self, instance: &TargetLife, now: Tick) -> Vec<RequestDigest> {
         self.expire(now);
-        if !self.has_ended(life) {
-            self.ended.push_back((life.clone(), now));
+        if !self.has_crashed(instance) {
+            self.crashed.push_back((instance.clone(), now));
         }
-        if self.ended.len() > MOST_ENDED {
-            self.ended.pop_front();
+        if self.crashed.len() > MAX_CRASHED {
+            self.crashed.pop_front();
         }
-        let there = self.broken.iter().filter(|attempt| attempt.life == *life);
-        let digests = there.map(|attempt| attempt.digest).collect();
-        self.broken.retain(|attempt| attempt.life != *life);
+        let affected = self.broken.iter().filter(|attempt| attempt.instance == *instance);
+        let digests = affected.map(|attempt| attempt.digest).collect();
+        self.broken.retain(|attempt| attempt.instance != *instance);
         digests
     }
 
-    /// Returns true where a life is known to have ended lately.
+    /// Returns `true` if the instance is known to have crashed recently.
     #[must_use]
-    pub fn has_ended(&self, life: &TargetLife) -> bool {
-        self.ended.iter().any(|(ended, _)| ended == life)
+    pub fn has_crashed(&self, instance: &TargetLife) -> bool {
+        self.crashed.iter().any(|(crashed, _)| crashed == instance)
     }
 
-    /// Notes that a target answered a request.
-    pub fn note_served(&mut self, digest: &RequestDigest) {
+    /// Records that a target answered a request.
+    pub fn record_served(&mut self, digest: &RequestDigest) {
         self.broken.retain(|attempt| attempt.digest != *digest);
     }
 
-    /// Returns true where no attempt waits for word of its target.
+    /// Returns `true` if no broken attempt awaits the confirmation of a crash.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.broken.is_empty()
     }
 
-    /// Forgets what is too old to mean anything.
+    /// Removes attempts and crashes older than [`CONFIRM_WINDOW`].
     fn expire(&mut self, now: Tick) {
-        self.broken.retain(|attempt| now.since(attempt.at) <= CONFIRM_SPAN);
-        self.ended.retain(|(_, at)| now.since(*at) <= CONFIRM_SPAN);
+        self.broken.retain(|attempt| now.since(attempt.at) <= CONFIRM_WINDOW);
+        self.crashed.retain(|(_, at)| now.since(*at) <= CONFIRM_WINDOW);
     }
 }
--- a/src/relay/decide/hold_list.rs
+++ b/src/relay/decide/hold_list.rs
@@ -1,4 +1,4 @@
-//! Requests that are held back: for how long, and whether the store knows it.
+//! Quarantined requests: how long each is quarantined, and whether the store records it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,182 +9,189 @@
 use super::targets::TargetLife;
 use crate::time::Tick;
 
-/// Time for which a request is held back at first, doubled each time that it ends a target
-/// after that: long against the repair of a target, short against a working day.
-const HOLD_SPAN: Duration = Duration::from_secs(600);
+/// Initial duration of a quarantine, doubled each time that the request crashes a target
+/// afterwards. It is long compared with the repair of a target and short compared with a
+/// working day.
+const QUARANTINE_DURATION: Duration = Duration::from_secs(600);
 
-/// Most times that the hold is doubled: it stays under a day.
-const MOST_RENEWALS: u32 = 7;
+/// Maximum number of times that the duration is doubled: it stays below a day.
+const MAX_RENEWALS: u32 = 7;
 
-/// Requests that are held back, those that lapse last; each is 80 bytes in the store.
-const MOST_HELD: usize = 64;
+/// Maximum number of quarantined requests; those that expire last are kept. Each takes 80
+/// bytes in the store.
+const MAX_QUARANTINED: usize = 64;
 
-/// Least time after which one who has heard of a hold puts it into the store, where the
-/// one who found it has not.
-const HEARD_WRITE_WAIT: Duration = Duration::from_secs(1);
+/// Minimum delay after which a process that learned of a quarantine from a peer writes it to
+/// the store, in case that the process which detected it has not.
+const PEER_WRITE_DELAY: Duration = Duration::from_secs(1);
 
-/// Time over which the writes of those who have heard of it are spread.
-const SPREAD_WRITE_WAIT: Duration = Duration::from_secs(2);
+/// Time over which the writes of processes that learned of a quarantine are spread.
+const PEER_WRITE_JITTER: Duration = Duration::from_secs(2);
 
-/// Time after which a write that did not show in the store is tried again, doubled each time.
-const WRITE_STEP: Duration = Duration::from_millis(500);
+/// Delay before a write that the store does not show is retried, doubled each time.
+const WRITE_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Most times that it is doubled: to eight seconds.
-const MOST_DOUBLED_STEPS: u32 = 4;
+/// Maximum number of times that the retry delay is doubled: to eight seconds.
+const MAX_RETRY_DOUBLINGS: u32 = 4;
 
-/// A request that is held back, as the store keeps it.
+/// A quarantined request, as it is stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantineRecord {
     /// The request.
     pub digest: RequestDigest,
-    /// Since when, in Unix milliseconds.
+    /// Start of the quarantine, in Unix milliseconds.
     pub since_ms: u64,
-    /// How often it ended a target after its hold.
+    /// Number of times that the request crashed a target after its quarantine had expired.
     pub renewals: u32,
 }
 
 impl QuarantineRecord {
-    fn hold_span(&self) -> Duration {
-        HOLD_SPAN * (1 << self.renewals.min(MOST_RENEWALS))
+    fn duration(&self) -> Duration {
+        QUARANTINE_DURATION * (1 << self.renewals.min(MAX_RENEWALS))
     }
 
-    /// Time for which it is still held at a Unix time.
+    /// Returns the time left in quarantine at a Unix time.
     fn left_at(&self, unix_ms: u64) -> Duration {
         let age = Duration::from_millis(unix_ms.saturating_sub(self.since_ms));
-        self.hold_span().saturating_sub(age)
+        self.duration().saturating_sub(age)
     }
 }
 
-/// Who saw that a target ended under a request.
+/// Which process observed that a target crashed under a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EndSource {
-    /// This process: the request was its own.
-    Own,
-    /// Another one.
-    Heard,
+pub enum CrashSource {
+    /// This process, which sent the request.
+    Local,
+    /// Another process.
+    Peer,
 }
 
-/// A request that is held back, or was until a while ago.
+/// A request that is quarantined, or was until recently.
 #[derive(Debug)]
-struct HeldState {
+struct QuarantineState {
     record: QuarantineRecord,
-    /// Since when; the record says so once it was written.
+    /// Start of the quarantine. `record` holds it only after the first write to the store.
     since: Tick,
-    lapses_at: Tick,
-    /// The lives that it explains.
-    lives: Vec<TargetLife>,
-    /// Who saw the last end.
-    source: EndSource,
-    /// Whether a target ended under it after its hold.
+    expires_at: Tick,
+    /// The instances whose crashes are attributed to the request.
+    instances: Vec<TargetLife>,
+    /// Which process observed the last crash.
+    source: CrashSource,
+    /// Whether a target crashed under the request after its quarantine had expired.
     is_renewed: bool,
-    /// When it is to be put into the store, none once it is there.
+    /// When to write it to the store; `None` once it is stored.
     write_at: Option<Tick>,
 }
 
-impl HeldState {
-    fn new(record: QuarantineRecord, lives: Vec<TargetLife>, now: Tick) -> Self {
-        HeldState {
+impl QuarantineState {
+    fn new(record: QuarantineRecord, instances: Vec<TargetLife>, now: Tick) -> Self {
+        QuarantineState {
             record,
             since: now,
-            lapses_at: now + record.hold_span(),
-            lives,
-            source: EndSource::Heard,
+            expires_at: now + record.duration(),
+            instances,
+            source: CrashSource::Peer,
             is_renewed: false,
             write_at: None,
         }
     }
 }
 
-/// The requests that are held back.
+/// The quarantined requests, and those whose quarantine has expired recently.
 #[derive(Debug, Default)]
-pub struct HoldList {
-    held: BTreeMap<RequestDigest, HeldState>,
-    /// Requests that are held back and were not told of here.
-    found: Vec<RequestDigest>,
-    /// This process's place, from 0 to 1, among those who write the same.
-    place: f64,
-    /// Writes in a row that did not show in the store.
+pub struct QuarantineList {
+    states: BTreeMap<RequestDigest, QuarantineState>,
+    /// Requests that were quarantined since the last [`QuarantineList::take_quarantined`].
+    added: Vec<RequestDigest>,
+    /// Random number from 0 to 1 that spreads the writes of processes that would write the
+    /// same records.
+    jitter: f64,
+    /// Consecutive writes that the store did not show.
     failed_writes: u32,
 }
 
-impl HoldList {
-    /// A list that is empty. `place`, from 0 to 1, is at random, and spreads the writes of
-    /// processes that have heard of the same.
+impl QuarantineList {
+    /// Creates an empty list.
+    ///
+    /// `jitter`, a random number from 0 to 1, spreads the writes of processes that learned of
+    /// the same quarantine.
     #[must_use]
-    pub fn new(place: f64) -> Self {
-        HoldList { place, ..HoldList::default() }
+    pub fn new(jitter: f64) -> Self {
+        QuarantineList { jitter, ..QuarantineList::default() }
     }
 
-    /// Returns true where nothing is held back, or was a while ago.
+    /// Returns `true` if no request is quarantined, or was until recently.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.states.is_empty()
     }
 
-    /// Time for which a request is still held back, none where it may be sent.
+    /// Returns the time left in quarantine; `None` if the request may be sent.
     #[must_use]
     pub fn held_for(&self, digest: &RequestDigest, now: Tick) -> Option<Duration> {
-        let left = self.held.get(digest)?.lapses_at.since(now);
+        let left = self.states.get(digest)?.expires_at.since(now);
         (!left.is_zero()).then_some(left)
     }
 
-    /// Requests that are held back.
+    /// Returns the number of requests that are quarantined at `now`.
     #[must_use]
     pub fn held_count(&self, now: Tick) -> usize {
-        self.held.values().filter(|held| held.lapses_at > now).count()
+        self.states.values().filter(|state| state.expires_at > now).count()
     }
 
-    /// The lives that ended under a request, none where it was never held back.
+    /// Returns the instances that crashed under a request; `None` if the list does not hold
+    /// the request.
     #[must_use]
-    pub fn lives_of(&self, digest: &RequestDigest) -> Option<&[TargetLife]> {
-        self.held.get(digest).map(|held| &*held.lives)
+    pub fn instances_of(&self, digest: &RequestDigest) -> Option<&[TargetLife]> {
+        self.states.get(digest).map(|state| &*state.instances)
     }
 
-    /// Returns true where a request that is held back explains the end of a life.
+    /// Returns `true` if the crash of an instance is attributed to a request of the list.
     #[must_use]
-    pub fn explains(&self, life: &TargetLife) -> bool {
-        self.held.values().any(|held| held.lives.contains(life))
+    pub fn explains(&self, instance: &TargetLife) -> bool {
+        self.states.values().any(|state| state.instances.contains(instance))
     }
 
-    /// Adds a life that ended under a request of the list. Returns false where that is
-    /// known, or `most` lives are.
-    pub fn add_life(
+    /// Adds an instance that crashed under a request of the list.
+    ///
+    /// Returns `false` if the instance is known already, or `max` instances are.
+    pub fn add_instance(
         &mut self,
         digest: &RequestDigest,
-        life: &TargetLife,
-        most: usize,
-        source: EndSource,
+        instance: &TargetLife,
+        max: usize,
+        source: CrashSource,
         now: Tick,
     ) -> bool {
-        let Some(held) = self.held.get_mut(digest) else { return false };
-        if held.lives.contains(life) || held.lives.len() >= most {
+        let Some(state) = self.states.get_mut(digest) else { return false };
+        if state.instances.contains(instance) || state.instances.len() >= max {
             return false;
         }
-        held.lives.push(life.clone());
-        held.source = source;
-        held.is_renewed |= held.lapses_at <= now;
+        state.instances.push(instance.clone());
+        state.source = source;
+        state.is_renewed |= state.expires_at <= now;
         true
     }
 
-    /// Holds a request back under which these lives ended.
-    pub fn hold(
+    /// Quarantines a request under which these instances crashed.
+    pub fn quarantine(
         &mut self,
         digest: RequestDigest,
-        lives: Vec<TargetLife>,
-        source: EndSource,
+        instances: Vec<TargetLife>,
+        source: CrashSource,
         now: Tick,
     ) {
-        self.insert(digest, 0, lives, source, now);
+        self.insert(digest, 0, instances, source, now);
     }
 
-    /// Holds back again what ended a target after its hold.
+    /// Quarantines again the requests that crashed a target after their quarantine expired.
     pub fn renew(&mut self, now: Tick) {
-        let renewed = self.held.values().filter(|held| held.is_renewed);
-        let digests: Vec<_> = renewed.map(|held| held.record.digest).collect();
+        let renewed = self.states.values().filter(|state| state.is_renewed);
+        let digests: Vec<_> = renewed.map(|state| state.record.digest).collect();
         for digest in digests {
-            if let Some(held) = self.held.remove(&digest) {
-                let renewals = held.record.renewals + 1;
-                self.insert(digest, renewals, held.lives, held.source, now);
+            if let Some(state) = self.states.remove(&digest) {
+                let renewals = state.record.renewals + 1;
+                self.insert(digest, renewals, state.instances, state.source, now);
             }
         }
     }
@@ -193,47 +200,50 @@
         &mut self,
         digest: RequestDigest,
         renewals: u32,
-        lives: Vec<TargetLife>,
-        source: EndSource,
+        instances: Vec<TargetLife>,
+        source: CrashSource,
         now: Tick,
     ) {
-        let wait = match source {
-            EndSource::Own => Duration::ZERO,
-            EndSource::Heard => self.heard_wait(),
+        let delay = match source {
+            CrashSource::Local => Duration::ZERO,
+            CrashSource::Peer => self.peer_write_delay(),
         };
-        // The Unix time is set where it is written.
+        // `due_records` sets the Unix time.
         let record = QuarantineRecord { digest, since_ms: 0, renewals };
-        let held = HeldState::new(record, lives, now);
-        self.held.insert(digest, HeldState { source, write_at: Some(now + wait), ..held });
-        self.found.push(digest);
+        let state = QuarantineState::new(record, instances, now);
+        self.states
+            .insert(digest, QuarantineState { source, write_at: Some(now + delay), ..state });
+        self.added.push(digest);
         self.bound();
     }
 
-    /// Requests that are held back since the last call.
-    pub fn take_found(&mut self) -> Vec<RequestDigest> {
-        std::mem::take(&mut self.found)
+    /// Drains the requests that were quarantined since the last call.
+    pub fn take_quarantined(&mut self) -> Vec<RequestDigest> {
+        std::mem::take(&mut self.added)
     }
 
-    /// Takes what the store keeps, read at a Unix time; `lives_of` takes the lives that
-    /// were known of a request that was not held back here.
-    pub fn take_records(
+    /// Applies the records of the store, read at a Unix time.
+    ///
+    /// `instances_of` removes and returns the instances that are known of a request that was
+    /// not in this list.
+    pub fn apply_records(
         &mut self,
         records: &[QuarantineRecord],
         unix_ms: u64,
         now: Tick,
-        mut lives_of: impl FnMut(&RequestDigest) -> Vec<TargetLife>,
+        mut instances_of: impl FnMut(&RequestDigest) -> Vec<TargetLife>,
     ) {
         for record in records {
-            self.take_record(*record, unix_ms, now, &mut lives_of);
+            self.apply_record(*record, unix_ms, now, &mut instances_of);
         }
-        let missing_at = now + self.heard_wait();
-        let is_kept = |held: &HeldState| {
-            let mut kept = records.iter().filter(|record| record.digest == held.record.digest);
-            kept.any(|record| record.renewals >= held.record.renewals)
+        let rewrite_at = now + self.peer_write_delay();
+        let is_stored = |state: &QuarantineState| {
+            let mut stored = records.iter().filter(|record| record.digest == state.record.digest);
+            stored.any(|record| record.renewals >= state.record.renewals)
         };
-        for held in self.held.values_mut().filter(|held| held.lapses_at > now) {
-            if !is_kept(held) {
-                held.write_at.get_or_insert(missing_at);
+        for state in self.states.values_mut().filter(|state| state.expires_at > now) {
+            if !is_stored(state) {
+                state.write_at.get_or_insert(rewrite_at);
             }
         }
         if self.write_due().is_none() {
@@ -242,64 +252,67 @@
         self.bound();
     }
 
-    fn take_record(
+    fn apply_record(
         &mut self,
         record: QuarantineRecord,
         unix_ms: u64,
         now: Tick,
-        lives_of: &mut impl FnMut(&RequestDigest) -> Vec<TargetLife>,
+        instances_of: &mut impl FnMut(&RequestDigest) -> Vec<TargetLife>,
     ) {
-        let known = self.held.get(&record.digest);
-        if known.is_some_and(|held| held.record.renewals > record.renewals) {
+        let known = self.states.get(&record.digest);
+        if known.is_some_and(|state| state.record.renewals > record.renewals) {
             return;
         }
         if known.is_none() {
-            self.found.push(record.digest);
+            self.added.push(record.digest);
         }
-        let lives = self.held.remove(&record.digest).map(|held| held.lives);
-        let lives = lives.unwrap_or_else(|| lives_of(&record.digest));
-        let lapses_at = now + record.left_at(unix_ms);
-        let held = HeldState { lapses_at, ..HeldState::new(record, lives, now) };
-        self.held.insert(record.digest, held);
+        let instances = self.states.remove(&record.digest).map(|state| state.instances);
+        let instances = instances.unwrap_or_else(|| instances_of(&record.digest));
+        let expires_at = now + record.left_at(unix_ms);
+        let state = QuarantineState { expires_at, ..QuarantineState::new(record, instances, now) };
+        self.states.insert(record.digest, state);
     }
 
-    /// When something is to be put into the store next, none where all of it is there.
+    /// Returns when the next write to the store is due; `None` if the store has all records.
     #[must_use]
     pub fn write_due(&self) -> Option<Tick> {
-        self.held.values().filter_map(|held| held.write_at).min()
+        self.states.values().filter_map(|state| state.write_at).min()
     }
 
-    /// What the store is to keep, where something is due; tried again later unless
-    /// [`HoldList::take_records`] shows that it is there.
-    pub fn to_write(&mut self, unix_ms: u64, now: Tick) -> Option<Vec<QuarantineRecord>> {
+    /// Returns the records to write to the store, if a write is due.
+    ///
+    /// The write is retried later unless [`QuarantineList::apply_records`] shows that the
+    /// records are stored.
+    pub fn due_records(&mut self, unix_ms: u64, now: Tick) -> Option<Vec<QuarantineRecord>> {
         self.write_due().filter(|due| *due <= now)?;
         self.expire(now);
-        let step = WRITE_STEP * (1 << self.failed_writes.min(MOST_DOUBLED_STEPS));
+        let delay = WRITE_RETRY_DELAY * (1 << self.failed_writes.min(MAX_RETRY_DOUBLINGS));
         self.failed_writes += 1;
-        for held in self.held.values_mut() {
-            if held.record.since_ms == 0 {
-                held.record.since_ms = unix_ms - now.since(held.since).as_millis() as u64;
+        for state in self.states.values_mut() {
+            if state.record.since_ms == 0 {
+                state.record.since_ms = unix_ms - now.since(state.since).as_millis() as u64;
             }
-            held.write_at = held.write_at.map(|_| now + step);
+            state.write_at = state.write_at.map(|_| now + delay);
         }
-        Some(self.held.values().map(|held| held.record).collect())
+        Some(self.states.values().map(|state| state.record).collect())
     }
 
-    /// Forgets what lapsed long ago: as long as it was held back.
+    /// Removes requests whose quarantine expired longer ago than it had lasted.
     pub fn expire(&mut self, now: Tick) {
-        self.held.retain(|_, held| now.since(held.lapses_at) <= held.record.hold_span());
+        self.states.retain(|_, state| now.since(state.expires_at) <= state.record.duration());
     }
 
-    /// Time after which this process writes what another one should have written.
-    fn heard_wait(&self) -> Duration {
-        HEARD_WRITE_WAIT + SPREAD_WRITE_WAIT.mul_f64(self.place)
+    /// Returns the delay after which this process writes a record that a peer should have
+    /// written.
+    fn peer_write_delay(&self) -> Duration {
+        PEER_WRITE_DELAY + PEER_WRITE_JITTER.mul_f64(self.jitter)
     }
 
     fn bound(&mut self) {
-        while self.held.len() > MOST_HELD {
-            let first = self.held.iter().min_by_key(|(_, held)| held.lapses_at);
+        while self.states.len() > MAX_QUARANTINED {
+            let first = self.states.iter().min_by_key(|(_, state)| state.expires_at);
             let Some(first) = first.map(|(digest, _)| *digest) else { return };
-            self.held.remove(&first);
+            self.states.remove(&first);
         }
     }
 }
--- a/src/relay/decide/quarantine.rs
+++ b/src/relay/decide/quarantine.rs
@@ -1,14 +1,14 @@
-//! Requests that end the targets that run them are held back.
+//! Quarantines requests that crash the targets which run them.
 //!
-//! The load that it answers: a request that ends each engine that begins it, and whose
-//! caller sends it again and again, at whatever entry. Each entry took each sending for a
-//! new request: 48 engines ended under one, and what they were at was lost.
+//! This guards against a request that crashes each engine that begins it, while its caller
+//! resends it again and again to any entry. If every entry treats each submission as a new
+//! request, one such request crashes 48 engines, and the work in progress there is lost.
 //!
-//! Others are at work in a target that ends, and nobody says which of them was the cause.
-//! So a request is held back only where three lives of targets ended under it, which no
-//! other request explains better: one that is held back already, or one under which the
-//! same lives ended and others too. A bystander that is sent again is kept away from
-//! other suspects, and is cleared by its first answer.
+//! A target that crashes runs other requests too, and nothing tells which of them was the
+//! cause. So a request is quarantined only if three target instances crashed under it and no
+//! other request explains these crashes better: neither one that is quarantined already nor
+//! another suspect that ran in all of the same instances. A bystander that is resent is
+//! placed away from other suspects, and is cleared by its first answer.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -16,299 +16,323 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::end_tracker::EndTracker;
-use super::hold_list::{EndSource, HoldList, QuarantineRecord};
+use super::end_tracker::CrashTracker;
+use super::hold_list::{CrashSource, QuarantineList, QuarantineRecord};
 use super::request_digest::RequestDigest;
 use super::targets::TargetLife;
 use crate::time::Tick;
 
-/// Ends of targets under a request from which on it is held back: a bystander shares one
-/// end with the cause, and by chance a second one.
-const HELD_ENDS: usize = 3;
+/// Number of crashes at which a request is quarantined: a bystander shares one crash with
+/// the cause, and a second one by chance.
+const MIN_CRASHES: usize = 3;
 
-/// Ends from which on a request is held back though another one explains them as well.
-const SHARED_ENDS: usize = 5;
+/// Number of crashes at which a request is quarantined even if another suspect ran in all of
+/// the same instances.
+const MIN_SHARED_CRASHES: usize = 5;
 
-/// Ends under a request from which on all are told of it, and it is kept apart.
-const TOLD_ENDS: usize = 2;
+/// Number of crashes at which a request is reported to all entries and placed away from other
+/// suspects.
+const MIN_REPORTED_CRASHES: usize = 2;
 
-/// Time after which a suspect is forgotten that ended nothing more.
-const SUSPECT_SPAN: Duration = Duration::from_secs(600);
+/// Time after which a suspect is forgotten if no further target crashes under it.
+const SUSPECT_TTL: Duration = Duration::from_secs(600);
 
-/// Suspects that are kept, the newest ones: 16 requests for each of 64 targets.
-const MOST_SUSPECTS: usize = 1_024;
+/// Maximum number of suspects; the newest are kept. It suffices for 16 requests at each of 64
+/// targets.
+const MAX_SUSPECTS: usize = 1_024;
 
-/// Lives of targets that are kept for a request.
-const MOST_LIVES: usize = 8;
+/// Maximum number of crashed instances to remember for a request.
+const MAX_INSTANCES: usize = 8;
 
-/// Time after an end in which all tell of the requests that were there: a report of an
-/// agent's, and some round trips.
-const JOIN_SPAN: Duration = Duration::from_millis(100);
+/// Time after a crash within which all processes report the requests that ran there: one
+/// report of an agent, plus a few round trips.
+const JOIN_WINDOW: Duration = Duration::from_millis(100);
 
-/// Requests that a process is told of when it starts: some kilobytes.
-const MOST_NEWS: usize = 32;
+/// Maximum number of suspects reported to a process that starts: a few kilobytes.
+const MAX_REPORTS: usize = 32;
 
-/// The lives of targets that ended under a request, as processes tell one another.
+/// The target instances that crashed under a request, as exchanged between processes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectNews {
     /// The request.
     #[serde(rename = "d")]
     pub digest: RequestDigest,
-    /// The lives.
+    /// The instances.
     #[serde(rename = "l")]
     pub lives: Vec<TargetLife>,
 }
 
-/// A request under which targets ended.
+/// A request under which targets crashed.
 #[derive(Debug)]
 struct SuspectState {
-    lives: Vec<TargetLife>,
-    noted_at: Tick,
-    /// Who saw the last end.
-    source: EndSource,
+    instances: Vec<TargetLife>,
+    recorded_at: Tick,
+    /// Which process observed the last crash.
+    source: CrashSource,
 }
 
-/// What this process knows of requests that end targets.
+/// What this process knows about requests that crash targets.
 #[derive(Debug, Default)]
 pub struct QuarantineLedger {
-    tracker: EndTracker,
+    tracker: CrashTracker,
     suspects: HashMap<RequestDigest, SuspectState>,
-    holds: HoldList,
-    /// Attempts of suspects, by their target.
-    open: HashMap<TargetLife, usize>,
-    /// When it is decided what the ends under suspects mean.
+    quarantined: QuarantineList,
+    /// Number of open attempts of suspects, by target instance.
+    open_attempts: HashMap<TargetLife, usize>,
+    /// When the crashes recorded so far are next evaluated.
     decide_at: Option<Tick>,
 }
 
 impl QuarantineLedger {
-    /// A ledger of which nothing is known yet. `place`, from 0 to 1, is at random, and
-    /// spreads the writes of processes that have heard of the same.
+    /// Creates an empty ledger.
+    ///
+    /// `jitter`, a random number from 0 to 1, spreads the writes of processes that learned of
+    /// the same quarantine.
     #[must_use]
-    pub fn new(place: f64) -> Self {
-        QuarantineLedger { holds: HoldList::new(place), ..QuarantineLedger::default() }
+    pub fn new(jitter: f64) -> Self {
+        QuarantineLedger { quarantined: QuarantineList::new(jitter), ..QuarantineLedger::default() }
     }
 
-    /// The requests that are held back.
+    /// Returns the quarantined requests.
     #[must_use]
-    pub fn holds(&self) -> &HoldList {
-        &self.holds
+    pub fn holds(&self) -> &QuarantineList {
+        &self.quarantined
     }
 
-    /// Notes that the connection of an attempt broke, whose events had come for `settled`.
-    /// Returns what others are to be told.
+    /// Records that the connection of an attempt broke after it had received events for
+    /// `streamed_for`.
+    ///
+    /// Returns the report to send to other processes, if its target is known to have crashed.
     pub fn note_broken(
         &mut self,
         digest: RequestDigest,
-        life: &TargetLife,
-        settled: Duration,
+        instance: &TargetLife,
+        streamed_for: Duration,
         now: Tick,
     ) -> Option<SuspectNews> {
-        let is_end = self.tracker.note_broken(digest, life, settled, now);
-        is_end.then(|| self.note_end(digest, life, now)).flatten()
+        let is_crash = self.tracker.record_broken(digest, instance, streamed_for, now);
+        is_crash.then(|| self.record_crash_under(digest, instance, now)).flatten()
     }
 
-    /// Notes that a life of a target has ended without having said that it would. Returns
-    /// what others are to be told of the requests that it was at.
-    pub fn note_ended(&mut self, life: &TargetLife, now: Tick) -> Vec<SuspectNews> {
-        let digests = self.tracker.note_ended(life, now);
-        digests.into_iter().filter_map(|digest| self.note_end(digest, life, now)).collect()
+    /// Records that a target instance ended without announcing its shutdown.
+    ///
+    /// Returns the reports to send to other processes about the requests that it ran.
+    pub fn note_ended(&mut self, instance: &TargetLife, now: Tick) -> Vec<SuspectNews> {
+        let digests = self.tracker.record_crash(instance, now);
+        digests
+            .into_iter()
+            .filter_map(|digest| self.record_crash_under(digest, instance, now))
+            .collect()
     }
 
-    /// Returns true where a life of a target is known to have ended lately.
+    /// Returns `true` if the instance is known to have crashed recently.
     #[must_use]
-    pub fn has_ended(&self, life: &TargetLife) -> bool {
-        self.tracker.has_ended(life)
+    pub fn has_ended(&self, instance: &TargetLife) -> bool {
+        self.tracker.has_crashed(instance)
     }
 
-    /// Takes what another process tells.
-    pub fn take_news(&mut self, news: &SuspectNews, now: Tick) {
-        for life in news.lives.iter().take(MOST_LIVES) {
-            self.add_life(news.digest, life, EndSource::Heard, now);
+    /// Applies a report of another process.
+    pub fn take_news(&mut self, report: &SuspectNews, now: Tick) {
+        for instance in report.lives.iter().take(MAX_INSTANCES) {
+            self.add_instance(report.digest, instance, CrashSource::Peer, now);
         }
     }
 
-    /// Notes that a target answered a request, so that it does not end those that run it.
-    /// Returns true where it was a suspect, so that others are to be told.
+    /// Records that a target answered a request, which shows that the request does not crash
+    /// targets.
+    ///
+    /// Returns `true` if the request was a suspect, so that other processes must be informed.
     pub fn note_served(&mut self, digest: &RequestDigest) -> bool {
-        self.tracker.note_served(digest);
+        self.tracker.record_served(digest);
         self.suspects.remove(digest).is_some()
     }
 
-    /// Returns true where a request was at two ends or more: one at a single end is most
-    /// likely a bystander, and is placed as any other.
+    /// Returns `true` if at least two targets crashed under a request. A request under which a
+    /// single one crashed is most likely a bystander, and is placed like any other.
     #[must_use]
     pub fn is_suspect(&self, digest: &RequestDigest) -> bool {
-        self.suspects.get(digest).is_some_and(|state| state.lives.len() >= TOLD_ENDS)
+        self.suspects.get(digest).is_some_and(|state| state.instances.len() >= MIN_REPORTED_CRASHES)
     }
 
-    /// Returns true where nothing is suspected or held back.
+    /// Returns `true` if no request is suspected or quarantined.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.suspects.is_empty() && self.tracker.is_empty() && self.holds.is_empty()
+        self.suspects.is_empty() && self.tracker.is_empty() && self.quarantined.is_empty()
     }
 
-    /// Notes that an attempt of a suspect is at a target.
-    pub fn note_sent(&mut self, life: &TargetLife) {
-        *self.open.entry(life.clone()).or_default() += 1;
+    /// Records that an attempt of a suspect was sent to a target.
+    pub fn note_sent(&mut self, instance: &TargetLife) {
+        *self.open_attempts.entry(instance.clone()).or_default() += 1;
     }
 
-    /// Notes that it is no longer there.
-    pub fn note_over(&mut self, life: &TargetLife) {
-        if let Some(count) = self.open.get_mut(life) {
+    /// Records that an attempt of a suspect at a target is over.
+    pub fn note_over(&mut self, instance: &TargetLife) {
+        if let Some(count) = self.open_attempts.get_mut(instance) {
             *count -= 1;
             if *count == 0 {
-                self.open.remove(life);
+                self.open_attempts.remove(instance);
             }
         }
     }
 
-    /// Targets where an attempt of a suspect is.
+    /// Returns the targets that run an attempt of a suspect.
     pub fn open_targets(&self) -> impl Iterator<Item = &TargetLife> {
-        self.open.keys()
+        self.open_attempts.keys()
     }
 
-    /// Holds requests back that are found to be the cause of ends. Looked at a moment
-    /// after an end, when all have told of the requests that were there.
+    /// Quarantines the requests that are found to be the cause of crashes.
+    ///
+    /// A crash is evaluated `JOIN_WINDOW` after it, when all processes have reported the
+    /// requests that ran there.
     pub fn decide(&mut self, now: Tick) {
         if self.decide_at.is_none_or(|at| at > now) {
             return;
         }
-        let is_joined = |state: &SuspectState| now.since(state.noted_at) >= JOIN_SPAN;
+        let is_joined = |state: &SuspectState| now.since(state.recorded_at) >= JOIN_WINDOW;
         let open = self.suspects.values().filter(|state| !is_joined(state));
-        self.decide_at = open.map(|state| state.noted_at + JOIN_SPAN).min();
-        // The one with the most ends explains them to others.
+        self.decide_at = open.map(|state| state.recorded_at + JOIN_WINDOW).min();
+        // The suspect with the most crashes comes first, as it may explain those of others.
         let joined = self.suspects.iter().filter(|(_, state)| is_joined(state));
         let mut order: Vec<_> =
-            joined.map(|(digest, state)| (Reverse(state.lives.len()), *digest)).collect();
+            joined.map(|(digest, state)| (Reverse(state.instances.len()), *digest)).collect();
         order.sort_unstable();
         for (_, digest) in order {
             if self.is_cause(&digest)
                 && let Some(state) = self.suspects.remove(&digest)
             {
-                self.holds.hold(digest, state.lives, state.source, now);
+                self.quarantined.quarantine(digest, state.instances, state.source, now);
             }
         }
-        self.holds.renew(now);
+        self.quarantined.renew(now);
     }
 
-    /// Requests that are held back since the last call.
+    /// Drains the requests that were quarantined since the last call.
     pub fn take_found(&mut self) -> Vec<RequestDigest> {
-        self.holds.take_found()
+        self.quarantined.take_quarantined()
     }
 
-    /// Takes what the store keeps, read at a Unix time.
+    /// Applies the records of the store, read at a Unix time.
     pub fn take_records(&mut self, records: &[QuarantineRecord], unix_ms: u64, now: Tick) {
         let suspects = &mut self.suspects;
-        let lives_of = |digest: &RequestDigest| {
-            suspects.remove(digest).map(|state| state.lives).unwrap_or_default()
+        let instances_of = |digest: &RequestDigest| {
+            suspects.remove(digest).map(|state| state.instances).unwrap_or_default()
         };
-        self.holds.take_records(records, unix_ms, now, lives_of);
+        self.quarantined.apply_records(records, unix_ms, now, instances_of);
     }
 
-    /// What the store is to keep, where something is due.
+    /// Returns the records to write to the store, if a write is due.
     pub fn to_write(&mut self, unix_ms: u64, now: Tick) -> Option<Vec<QuarantineRecord>> {
-        self.holds.to_write(unix_ms, now)
+        self.quarantined.due_records(unix_ms, now)
     }
 
-    /// What is known of a request, none where no target ended under it.
+    /// Returns what is known about a request; `None` if no target crashed under it.
     #[must_use]
-    pub fn news_of(&self, digest: RequestDigest) -> Option<SuspectNews> {
-        let suspected = self.suspects.get(&digest).map(|state| &*state.lives);
-        let lives = suspected.or_else(|| self.holds.lives_of(&digest))?;
-        Some(SuspectNews { digest, lives: lives.to_vec() })
+    pub fn report_on(&self, digest: RequestDigest) -> Option<SuspectNews> {
+        let suspected = self.suspects.get(&digest).map(|state| &*state.instances);
+        let instances = suspected.or_else(|| self.quarantined.instances_of(&digest))?;
+        Some(SuspectNews { digest, lives: instances.to_vec() })
     }
 
-    /// What all are to be told of a request, none where too little is known: one end says
-    /// nothing of each of the requests that were there.
+    /// Returns the report about a request that all processes receive; `None` if too little is
+    /// known. One crash is no evidence against any of the requests that ran there.
     #[must_use]
     pub fn told_of(&self, digest: RequestDigest) -> Option<SuspectNews> {
-        self.news_of(digest).filter(|news| news.lives.len() >= TOLD_ENDS)
+        self.report_on(digest).filter(|report| report.lives.len() >= MIN_REPORTED_CRASHES)
     }
 
-    /// What all are to be told, for a process that has just started: the newest suspects.
+    /// Returns the reports for a process that has just started, on the newest suspects.
     #[must_use]
     pub fn to_news(&self) -> Vec<SuspectNews> {
         let mut suspects: Vec<_> = self.suspects.iter().collect();
-        suspects.sort_by_key(|(digest, state)| (Reverse(state.noted_at), **digest));
-        let news = suspects.into_iter().filter_map(|(digest, _)| self.told_of(*digest));
-        news.take(MOST_NEWS).collect()
+        suspects.sort_by_key(|(digest, state)| (Reverse(state.recorded_at), **digest));
+        let reports = suspects.into_iter().filter_map(|(digest, _)| self.told_of(*digest));
+        reports.take(MAX_REPORTS).collect()
     }
 
-    /// Notes the end of a target under a request of this process's own.
-    fn note_end(
+    /// Records the crash of a target under a request that this process sent.
+    fn record_crash_under(
         &mut self,
         digest: RequestDigest,
-        life: &TargetLife,
+        instance: &TargetLife,
         now: Tick,
     ) -> Option<SuspectNews> {
-        let is_new = self.add_life(digest, life, EndSource::Own, now);
-        is_new.then(|| self.news_of(digest)).flatten()
+        let is_new = self.add_instance(digest, instance, CrashSource::Local, now);
+        is_new.then(|| self.report_on(digest)).flatten()
     }
 
-    /// Adds a life that ended under a request. Returns false where that is known.
-    fn add_life(
+    /// Adds an instance that crashed under a request.
+    ///
+    /// Returns `false` if it is known already, or [`MAX_INSTANCES`] of the request are.
+    fn add_instance(
         &mut self,
         digest: RequestDigest,
-        life: &TargetLife,
-        source: EndSource,
+        instance: &TargetLife,
+        source: CrashSource,
         now: Tick,
     ) -> bool {
         self.expire(now);
-        let is_new = if self.holds.lives_of(&digest).is_some() {
-            self.holds.add_life(&digest, life, MOST_LIVES, source, now)
+        let is_new = if self.quarantined.instances_of(&digest).is_some() {
+            self.quarantined.add_instance(&digest, instance, MAX_INSTANCES, source, now)
         } else {
-            self.add_suspect_life(digest, life, source, now)
+            self.add_suspect_instance(digest, instance, source, now)
         };
         if is_new {
-            self.decide_at.get_or_insert(now + JOIN_SPAN);
+            self.decide_at.get_or_insert(now + JOIN_WINDOW);
         }
         is_new
     }
 
-    fn add_suspect_life(
+    fn add_suspect_instance(
         &mut self,
         digest: RequestDigest,
-        life: &TargetLife,
-        source: EndSource,
+        instance: &TargetLife,
+        source: CrashSource,
         now: Tick,
     ) -> bool {
         let state = self.suspects.entry(digest).or_insert_with(|| SuspectState {
-            lives: Vec::new(),
-            noted_at: now,
+            instances: Vec::new(),
+            recorded_at: now,
             source,
         });
-        if state.lives.contains(life) || state.lives.len() >= MOST_LIVES {
+        if state.instances.contains(instance) || state.instances.len() >= MAX_INSTANCES {
             return false;
         }
-        state.lives.push(life.clone());
-        (state.noted_at, state.source) = (now, source);
+        state.instances.push(instance.clone());
+        (state.recorded_at, state.source) = (now, source);
         self.bound_suspects();
         true
     }
 
-    /// Returns true where a suspect is the best explanation of the ends under it.
+    /// Returns `true` if a suspect is the best explanation of the crashes under it.
     fn is_cause(&self, digest: &RequestDigest) -> bool {
         let Some(state) = self.suspects.get(digest) else { return false };
-        let own: Vec<_> = state.lives.iter().filter(|life| !self.holds.explains(life)).collect();
+        let unexplained: Vec<_> = state
+            .instances
+            .iter()
+            .filter(|instance| !self.quarantined.explains(instance))
+            .collect();
         let is_shared = || {
             let mut others = self.suspects.iter().filter(|(other, _)| *other != digest);
-            others.any(|(_, other)| own.iter().all(|life| other.lives.contains(life)))
+            others.any(|(_, other)| {
+                unexplained.iter().all(|instance| other.instances.contains(instance))
+            })
         };
-        own.len() >= SHARED_ENDS || (own.len() >= HELD_ENDS && !is_shared())
+        unexplained.len() >= MIN_SHARED_CRASHES
+            || (unexplained.len() >= MIN_CRASHES && !is_shared())
     }
 
     fn bound_suspects(&mut self) {
-        while self.suspects.len() > MOST_SUSPECTS {
+        while self.suspects.len() > MAX_SUSPECTS {
             let oldest =
-                self.suspects.iter().min_by_key(|(digest, state)| (state.noted_at, **digest));
+                self.suspects.iter().min_by_key(|(digest, state)| (state.recorded_at, **digest));
             let Some(oldest) = oldest.map(|(digest, _)| *digest) else { return };
             self.suspects.remove(&oldest);
         }
     }
 
-    /// Forgets what is too old to mean anything.
+    /// Removes outdated suspects and quarantines.
     fn expire(&mut self, now: Tick) {
-        self.suspects.retain(|_, state| now.since(state.noted_at) <= SUSPECT_SPAN);
-        self.holds.expire(now);
+        self.suspects.retain(|_, state| now.since(state.recorded_at) <= SUSPECT_TTL);
+        self.quarantined.expire(now);
     }
 }
--- a/src/relay/decide/request_digest.rs
+++ b/src/relay/decide/request_digest.rs
@@ -1,20 +1,21 @@
-//! What makes two sendings the same request: its account, host, path and body.
+//! Identifies repeated submissions of a request by its account, host, path and body.
 //!
-//! A caller names each sending anew, so the name says nothing of what is sent. The
-//! digest is one that no other caller can aim at: what is learned of a request is held
-//! against whoever sends it.
+//! A caller gives each submission an ID of its own, so the ID does not identify the content.
+//! What is learned about a request is applied to every submission with the same digest, so
+//! the digest is one for which no caller can craft a request that collides with another
+//! caller's.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// Names a request by what it asks for, whichever sending it is.
+/// Digest of a request's content, the same for each submission of the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestDigest(u128);
 
 impl RequestDigest {
-    /// The digest of a request. `account` is none on public routes.
+    /// Computes the digest of a request. `account` is `None` on public routes.
     ///
     /// # Example
     ///
@@ -38,13 +39,14 @@
         RequestDigest(high.fold(0, |number, byte| number << 8 | u128::from(*byte)))
     }
 
-    /// Place of a name in an order of this request's own, the same in all processes.
+    /// Returns the rank of a name for this request (rendezvous hashing), which is the same in
+    /// all processes.
     #[must_use]
     pub fn rank_of(&self, name: &str) -> u64 {
         xxhash_rust::xxh3::xxh3_64_with_seed(name.as_bytes(), self.0 as u64)
     }
 
-    /// Reads the form that [`fmt::Display`] writes, none where it is not one.
+    /// Parses the output of [`fmt::Display`]; `None` if the text is malformed.
     #[must_use]
     pub fn from_hex(text: &str) -> Option<Self> {
         const DIGITS: usize = 2 * size_of::<u128>();
--- a/tests/relay/quarantine.rs
+++ b/tests/relay/quarantine.rs
@@ -1,4 +1,4 @@
-//! Which requests are held back, since targets ended under them.
+//! Quarantine of requests under which targets crashed.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,87 +19,87 @@
 
 const NO_TIME: Duration = Duration::ZERO;
 
-/// Time after an end at which it is decided what it means.
-const JOINED: Duration = Duration::from_millis(100);
+/// Time after a crash at which the ledger evaluates it.
+const JOIN_WINDOW: Duration = Duration::from_millis(100);
 
-/// Unix time of tick zero in these tests.
+/// Unix time of tick zero in these tests, in milliseconds.
 const EPOCH_MS: u64 = 1_700_000_000_000;
 
 fn digest(body: &str) -> RequestDigest {
     RequestDigest::of(Some("acme"), "h.example", "/x", body.as_bytes())
 }
 
-fn life(number: u64) -> TargetLife {
+fn instance(number: u64) -> TargetLife {
     TargetLife { incarnation: name("e"), born_ms: number }
 }
 
-/// A ledger that has seen these lives end under a request.
-fn ledger_of(body: &str, lives: &[u64]) -> QuarantineLedger {
+/// A ledger that has recorded crashes of these instances under a request.
+fn ledger_of(body: &str, instances: &[u64]) -> QuarantineLedger {
     let mut ledger = QuarantineLedger::default();
-    for number in lives {
-        end_under(&mut ledger, body, *number, at(100 * number));
+    for number in instances {
+        crash_under(&mut ledger, body, *number, at(100 * number));
     }
     ledger
 }
 
-fn end_under(ledger: &mut QuarantineLedger, body: &str, number: u64, now: shalelane::time::Tick) {
-    ledger.note_broken(digest(body), &life(number), NO_TIME, now);
-    ledger.note_ended(&life(number), now);
-    ledger.decide(now + JOINED);
+fn crash_under(ledger: &mut QuarantineLedger, body: &str, number: u64, now: shalelane::time::Tick) {
+    ledger.note_broken(digest(body), &instance(number), NO_TIME, now);
+    ledger.note_ended(&instance(number), now);
+    ledger.decide(now + JOIN_WINDOW);
 }
 
-fn is_held(ledger: &QuarantineLedger, body: &str, now: u64) -> bool {
+fn is_quarantined(ledger: &QuarantineLedger, body: &str, now: u64) -> bool {
     ledger.holds().held_for(&digest(body), at(now)).is_some()
 }
 
 #[test]
-fn a_request_is_held_back_after_three_ends() {
-    assert!(!is_held(&ledger_of("a", &[1, 2]), "a", 300));
+fn a_request_is_quarantined_after_three_crashes() {
+    assert!(!is_quarantined(&ledger_of("a", &[1, 2]), "a", 300));
     let ledger = ledger_of("a", &[1, 2, 3]);
-    assert!(is_held(&ledger, "a", 300));
-    assert!(!is_held(&ledger, "b", 300));
-    assert!(is_held(&ledger, "a", 300_000), "after five minutes");
-    assert!(!is_held(&ledger, "a", 601_000), "it may be tried again");
+    assert!(is_quarantined(&ledger, "a", 300));
+    assert!(!is_quarantined(&ledger, "b", 300));
+    assert!(is_quarantined(&ledger, "a", 300_000), "after five minutes");
+    assert!(!is_quarantined(&ledger, "a", 601_000), "the quarantine has expired");
 }
 
 #[test]
-fn a_broken_connection_alone_says_nothing() {
+fn a_broken_connection_alone_is_not_a_crash() {
     let mut ledger = QuarantineLedger::default();
     for number in 1..9 {
-        ledger.note_broken(digest("a"), &life(number), NO_TIME, at(number));
+        ledger.note_broken(digest("a"), &instance(number), NO_TIME, at(number));
     }
-    assert!(!is_held(&ledger, "a", 10));
-    ledger.note_ended(&life(1), at(20_000));
-    assert!(!ledger.is_suspect(&digest("a")), "it ended long after");
+    assert!(!is_quarantined(&ledger, "a", 10));
+    ledger.note_ended(&instance(1), at(20_000));
+    assert!(!ledger.is_suspect(&digest("a")), "the target crashed long after the connection broke");
 }
 
 #[test]
-fn the_word_of_an_end_may_come_before_the_connection_breaks() {
+fn a_crash_may_be_reported_before_the_connection_breaks() {
     let mut ledger = QuarantineLedger::default();
     for number in 1..4 {
-        ledger.note_ended(&life(number), at(number));
-        ledger.note_broken(digest("a"), &life(number), NO_TIME, at(number + 5));
+        ledger.note_ended(&instance(number), at(number));
+        ledger.note_broken(digest("a"), &instance(number), NO_TIME, at(number + 5));
     }
     ledger.decide(at(200));
-    assert!(is_held(&ledger, "a", 10));
+    assert!(is_quarantined(&ledger, "a", 10));
 }
 
 #[test]
-fn one_end_counts_once() {
+fn one_crash_counts_once() {
     let mut ledger = QuarantineLedger::default();
     for attempt in 0..5 {
-        end_under(&mut ledger, "a", 1, at(attempt));
+        crash_under(&mut ledger, "a", 1, at(attempt));
     }
-    let lives = ledger.news_of(digest("a")).unwrap().lives;
-    assert_eq!(lives, [life(1)]);
+    let instances = ledger.report_on(digest("a")).unwrap().lives;
+    assert_eq!(instances, [instance(1)]);
 }
 
 #[test]
-fn an_attempt_whose_events_have_come_for_long_is_not_the_cause() {
+fn an_attempt_that_streamed_for_long_is_not_the_cause() {
     let mut ledger = QuarantineLedger::default();
     for number in 1..6 {
-        ledger.note_broken(digest("a"), &life(number), ms(2_500), at(number));
-        ledger.note_ended(&life(number), at(number));
+        ledger.note_broken(digest("a"), &instance(number), ms(2_500), at(number));
+        ledger.note_ended(&instance(number), at(number));
     }
     assert!(ledger.is_empty());
 }
@@ -108,131 +108,135 @@
 fn an_answer_clears_a_suspect() {
     let mut ledger = ledger_of("a", &[1, 2]);
     assert!(ledger.note_served(&digest("a")));
-    assert!(!ledger.note_served(&digest("a")), "told once");
-    end_under(&mut ledger, "a", 3, at(400));
-    assert!(!is_held(&ledger, "a", 400));
+    assert!(!ledger.note_served(&digest("a")), "reported once");
+    crash_under(&mut ledger, "a", 3, at(400));
+    assert!(!is_quarantined(&ledger, "a", 400));
 }
 
-/// Of two requests at the same ends, the one with an end of its own is the cause.
+/// Of two requests that ran in the same crashed targets, the one under which a further target
+/// crashes is the cause.
 #[test]
-fn a_bystander_of_the_same_three_ends_is_not_held_back() {
+fn a_bystander_of_the_same_three_crashes_is_not_quarantined() {
     let mut ledger = QuarantineLedger::default();
     for number in 1..4 {
-        ledger.note_broken(digest("cause"), &life(number), NO_TIME, at(number));
-        ledger.note_broken(digest("beside"), &life(number), NO_TIME, at(number));
-        ledger.note_ended(&life(number), at(number));
+        ledger.note_broken(digest("cause"), &instance(number), NO_TIME, at(number));
+        ledger.note_broken(digest("beside"), &instance(number), NO_TIME, at(number));
+        ledger.note_ended(&instance(number), at(number));
     }
     ledger.decide(at(105));
-    assert!(!is_held(&ledger, "cause", 10) && !is_held(&ledger, "beside", 10), "nobody can tell");
-    end_under(&mut ledger, "cause", 4, at(20));
-    assert!(is_held(&ledger, "cause", 30));
-    assert!(!is_held(&ledger, "beside", 30));
-    end_under(&mut ledger, "beside", 5, at(40));
-    assert!(!is_held(&ledger, "beside", 50), "three of its four ends are explained");
+    assert!(
+        !is_quarantined(&ledger, "cause", 10) && !is_quarantined(&ledger, "beside", 10),
+        "the cause is ambiguous"
+    );
+    crash_under(&mut ledger, "cause", 4, at(20));
+    assert!(is_quarantined(&ledger, "cause", 30));
+    assert!(!is_quarantined(&ledger, "beside", 30));
+    crash_under(&mut ledger, "beside", 5, at(40));
+    assert!(!is_quarantined(&ledger, "beside", 50), "three of its four crashes are explained");
 }
 
 #[test]
-fn who_hears_of_it_holds_it_back_too() {
-    let mut all = Vec::new();
+fn reports_of_peers_lead_to_a_quarantine() {
+    let mut reports = Vec::new();
     for number in 1..4 {
-        all.push(SuspectNews { digest: digest("a"), lives: vec![life(number)] });
+        reports.push(SuspectNews { digest: digest("a"), lives: vec![instance(number)] });
     }
     let mut ledger = QuarantineLedger::default();
-    for (at_ms, news) in [(1, &all[0]), (2, &all[0]), (3, &all[1])] {
-        ledger.take_news(news, at(at_ms));
+    for (at_ms, report) in [(1, &reports[0]), (2, &reports[0]), (3, &reports[1])] {
+        ledger.take_news(report, at(at_ms));
     }
     ledger.decide(at(150));
-    assert!(!is_held(&ledger, "a", 150), "one of them was told twice");
-    ledger.take_news(&all[2], at(200));
-    assert!(!is_held(&ledger, "a", 200), "others may still tell");
+    assert!(!is_quarantined(&ledger, "a", 150), "one crash was reported twice");
+    ledger.take_news(&reports[2], at(200));
+    assert!(!is_quarantined(&ledger, "a", 200), "further reports may still arrive");
     ledger.decide(at(300));
-    assert!(is_held(&ledger, "a", 300));
+    assert!(is_quarantined(&ledger, "a", 300));
     assert_eq!(ledger.take_found(), [digest("a")]);
     assert!(ledger.take_found().is_empty());
     let due = ledger.holds().write_due().unwrap();
-    assert!(due.since(at(300)) >= ms(1_000), "the one who found it writes it");
+    assert!(due.since(at(300)) >= ms(1_000), "the process that detected it writes first");
 }
 
 #[test]
-fn what_is_told_fits_a_datagram() {
-    let lives = (0..8).map(|number| TargetLife {
+fn a_suspect_report_fits_into_a_datagram() {
+    let instances = (0..8).map(|number| TargetLife {
         incarnation: name("a-name-of-thirty-characters-or-so"),
         born_ms: 1_700_000_000_000 + number,
     });
-    let news = SuspectNews { digest: digest("a"), lives: lives.collect() };
-    for note in [LoadNote::Suspected(news), LoadNote::Cleared(digest("a"))] {
-        let bytes = note.to_bytes().unwrap();
+    let report = SuspectNews { digest: digest("a"), lives: instances.collect() };
+    for message in [LoadNote::Suspected(report), LoadNote::Cleared(digest("a"))] {
+        let bytes = message.to_bytes().unwrap();
         assert!(bytes.len() <= MAX_NOTE, "{} bytes", bytes.len());
-        assert_eq!(LoadNote::from_bytes(&bytes).unwrap(), note);
+        assert_eq!(LoadNote::from_bytes(&bytes).unwrap(), message);
     }
 }
 
-/// Agents join what entries tell, and pass on what was at two ends or more.
+/// Agents merge the reports of entries, and forward those of two crashes or more.
 #[test]
-fn agents_join_what_entries_tell() {
+fn agents_merge_the_reports_of_entries() {
     let mut set = SubscriberSet::default();
     let entries: Vec<SocketAddr> =
         (1..4).map(|number| ([10, 1, 0, number], 7_000).into()).collect();
     for (number, entry) in entries.iter().enumerate() {
-        let note = LoadNote::Subscribe {
+        let subscribe = LoadNote::Subscribe {
             entry: number as u64,
             proof_age_ms: None,
             list_mark: None,
             config_mark: None,
         };
-        set.on_note(&note, *entry, 100, at(0));
+        set.on_note(&subscribe, *entry, 100, at(0));
     }
-    let told = |lives: &[u64]| {
-        let lives = lives.iter().map(|number| life(*number)).collect();
-        LoadNote::Suspected(SuspectNews { digest: digest("a"), lives })
+    let report = |instances: &[u64]| {
+        let crashed = instances.iter().map(|number| instance(*number)).collect();
+        LoadNote::Suspected(SuspectNews { digest: digest("a"), lives: crashed })
     };
-    assert!(set.on_note(&told(&[1]), entries[0], 100, at(10)).is_empty());
-    let out = set.on_note(&told(&[2]), entries[1], 100, at(20));
-    assert_eq!(out.len(), entries.len(), "also who told");
-    assert!(out.iter().all(|out| out.note == told(&[1, 2])));
-    let start =
+    assert!(set.on_note(&report(&[1]), entries[0], 100, at(10)).is_empty());
+    let out = set.on_note(&report(&[2]), entries[1], 100, at(20));
+    assert_eq!(out.len(), entries.len(), "including the entries that reported");
+    assert!(out.iter().all(|out| out.note == report(&[1, 2])));
+    let restarted =
         LoadNote::Subscribe { entry: 9, proof_age_ms: None, list_mark: None, config_mark: None };
-    let out = set.on_note(&start, entries[2], 100, at(30));
-    assert!(out.iter().any(|out| out.note == told(&[1, 2])), "one that started again");
+    let out = set.on_note(&restarted, entries[2], 100, at(30));
+    assert!(out.iter().any(|out| out.note == report(&[1, 2])), "an entry that restarted");
     let out = set.on_note(&LoadNote::Cleared(digest("a")), entries[0], 100, at(40));
-    assert_eq!(out.len(), 2, "the others");
-    assert!(set.on_note(&told(&[3]), entries[0], 100, at(50)).is_empty());
+    assert_eq!(out.len(), 2, "the other entries");
+    assert!(set.on_note(&report(&[3]), entries[0], 100, at(50)).is_empty());
 }
 
-/// After its hold, one more end has it held back for twice as long.
+/// After its quarantine has expired, one more crash quarantines it for twice as long.
 #[test]
-fn a_request_that_does_it_again_is_held_back_for_longer() {
+fn a_renewed_quarantine_lasts_longer() {
     let mut ledger = ledger_of("a", &[1, 2, 3]);
     let later = 700_000;
-    assert!(!is_held(&ledger, "a", later));
-    end_under(&mut ledger, "a", 9, at(later));
-    assert!(is_held(&ledger, "a", later + 1_199_000));
-    assert!(!is_held(&ledger, "a", later + 1_201_000));
+    assert!(!is_quarantined(&ledger, "a", later));
+    crash_under(&mut ledger, "a", 9, at(later));
+    assert!(is_quarantined(&ledger, "a", later + 1_199_000));
+    assert!(!is_quarantined(&ledger, "a", later + 1_201_000));
 }
 
 #[test]
-fn the_store_keeps_it_for_those_who_start_later() {
+fn a_process_that_starts_later_reads_the_quarantine_from_the_store() {
     let mut ledger = ledger_of("a", &[1, 2, 3]);
     let records = ledger.to_write(EPOCH_MS, at(400)).unwrap();
-    assert!(ledger.to_write(EPOCH_MS, at(410)).is_none(), "not at once again");
-    assert!(ledger.to_write(EPOCH_MS, at(1_000)).is_some(), "until it shows");
+    assert!(ledger.to_write(EPOCH_MS, at(410)).is_none(), "not again at once");
+    assert!(ledger.to_write(EPOCH_MS, at(1_000)).is_some(), "retried until the store shows it");
     ledger.take_records(&records, EPOCH_MS, at(1_100));
     assert_eq!(ledger.holds().write_due(), None);
     let mut later = QuarantineLedger::default();
     later.take_records(&records, EPOCH_MS + 60_000, at(0));
     let left = later.holds().held_for(&digest("a"), at(0)).unwrap();
     assert!(left > ms(535_000) && left < ms(545_000), "{left:?}");
-    // Whoever writes the object without it has it written again.
+    // A record that another process removed from the object is written again.
     later.take_records(&[], EPOCH_MS + 60_000, at(10));
-    assert_eq!(later.to_write(EPOCH_MS, at(10)), None, "another one may write it");
+    assert_eq!(later.to_write(EPOCH_MS, at(10)), None, "another process may write it first");
     assert_eq!(later.to_write(EPOCH_MS, at(1_010)).unwrap(), records);
 }
 
 #[test]
-fn what_is_kept_is_bounded() {
+fn reports_and_quarantines_are_bounded() {
     let mut ledger = QuarantineLedger::default();
     for number in 0..5_000 {
-        end_under(&mut ledger, &format!("r{number}"), 1, at(number));
+        crash_under(&mut ledger, &format!("r{number}"), 1, at(number));
     }
     assert!(ledger.to_news().len() <= 32);
     let records: Vec<_> = (0..500)
@@ -246,50 +250,50 @@
     assert!(ledger.holds().held_count(at(5_000)) <= 64);
 }
 
-/// A configuration of the same version brings what is held back, and an earlier version
-/// does not step back for it.
+/// A configuration of the same version delivers the quarantine; one of an earlier version does
+/// not replace the current one, even if it carries a quarantine.
 #[test]
-fn it_comes_with_the_configuration() {
+fn the_quarantine_comes_with_the_configuration() {
     let record = QuarantineRecord { digest: digest("a"), since_ms: EPOCH_MS, renewals: 0 };
     let config = RelayConfig { version: 5, ..RelayConfig::default() };
-    let noted = RelayConfig { quarantine: vec![record], ..config.clone() };
-    let news = |config| config_news(revision(9), config);
+    let quarantining = RelayConfig { quarantine: vec![record], ..config.clone() };
+    let update = |config| config_news(revision(9), config);
     let mut core = RelayCore::new(limits(StalePolicy::FailClosed), 1);
     core.set_epoch(EPOCH_MS);
     assert!(core.take_config(Some(config.clone()), at(0)));
-    assert!(!core.take_news(news(noted.clone()), at(10)), "no other version");
+    assert!(!core.take_news(update(quarantining.clone()), at(10)), "the same version");
     assert!(core.quarantine().holds().held_for(&digest("a"), at(20)).is_some());
-    assert_eq!(core.config_copy().unwrap().config.quarantine, [record], "passed on");
-    assert!(!core.take_news(news(RelayConfig { version: 4, ..noted }), at(30)));
+    assert_eq!(core.config_copy().unwrap().config.quarantine, [record], "forwarded");
+    assert!(!core.take_news(update(RelayConfig { version: 4, ..quarantining }), at(30)));
     assert_eq!(core.rules().version(), 5);
 }
 
-/// A target that is removed, or that starts again under its name, has ended; one that
-/// had said that it would leave has not.
+/// A target that is removed from the list, or restarts under its name, has crashed; one that
+/// had announced its shutdown has not.
 #[test]
-fn ends_are_known_by_the_list() {
+fn crashes_are_detected_by_the_target_list() {
     let mut core = RelayCore::new(limits(StalePolicy::FailClosed), 1);
     core.take_list(vec![record("a", 1), record("b", 2), record("c", 3)], false, at(0));
-    let lives: Vec<_> = ["a", "b", "c"].map(|name| core.life_of(name).unwrap()).into();
+    let instances: Vec<_> = ["a", "b", "c"].map(|name| core.life_of(name).unwrap()).into();
     let mut leaving = record("c", 3);
     leaving.is_leaving = true;
     core.take_change(leaving, at(5));
-    let mut again = record("b", 2);
-    again.born_ms = 7;
-    core.take_list(vec![record("a", 1), again], false, at(10));
+    let mut restarted = record("b", 2);
+    restarted.born_ms = 7;
+    core.take_list(vec![record("a", 1), restarted], false, at(10));
     core.take_list(vec![], false, at(20));
-    assert!(!core.may_live(&lives[0]) && !core.may_live(&lives[1]));
-    let news = |core: &mut RelayCore, life, body| {
-        core.note_broken(digest(body), life, NO_TIME, at(30));
-        core.quarantine().news_of(digest(body)).is_some()
+    assert!(!core.may_live(&instances[0]) && !core.may_live(&instances[1]));
+    let is_suspected = |core: &mut RelayCore, instance, body| {
+        core.note_broken(digest(body), instance, NO_TIME, at(30));
+        core.quarantine().report_on(digest(body)).is_some()
     };
-    assert!(news(&mut core, &lives[0], "x"));
-    assert!(news(&mut core, &lives[1], "y"));
-    assert!(!news(&mut core, &lives[2], "z"), "it left as it had said");
+    assert!(is_suspected(&mut core, &instances[0], "x"));
+    assert!(is_suspected(&mut core, &instances[1], "y"));
+    assert!(!is_suspected(&mut core, &instances[2], "z"), "it left as announced");
 }
 
-/// Property: a cause among bystanders, at engines chosen at random, is held back after six
-/// ends at most, and no bystander is that is cleared by its first answer.
+/// Property: with requests at engines chosen at random, the cause is quarantined after six
+/// crashes at most, and no bystander, which its first answer clears, is quarantined.
 #[test]
 fn a_cause_is_found_among_bystanders() {
     check(cause_is_found as fn(u64) -> bool);
@@ -299,50 +303,51 @@
     const ENGINES: u64 = 18;
     const BYSTANDERS: u64 = 30;
     const ROUNDS: u64 = 6;
-    let mut dice = StdRng::seed_from_u64(seed);
+    let mut random = StdRng::seed_from_u64(seed);
     let mut ledger = QuarantineLedger::default();
     let mut bystanders: Vec<String> = (0..BYSTANDERS).map(|at| format!("beside {at}")).collect();
     for round in 1..=ROUNDS {
-        let engine = dice.random_range(0..ENGINES);
-        let (ended, now) = (life(round * ENGINES + engine), at(round * 100));
-        ledger.note_broken(digest("cause"), &ended, NO_TIME, now);
+        let engine = random.random_range(0..ENGINES);
+        let (crashed, now) = (instance(round * ENGINES + engine), at(round * 100));
+        ledger.note_broken(digest("cause"), &crashed, NO_TIME, now);
         for body in &mut bystanders {
-            if dice.random_range(0..ENGINES) == engine {
-                ledger.note_broken(digest(body), &ended, NO_TIME, now);
+            if random.random_range(0..ENGINES) == engine {
+                ledger.note_broken(digest(body), &crashed, NO_TIME, now);
             } else {
                 ledger.note_served(&digest(body));
                 body.push('x');
             }
         }
-        ledger.note_ended(&ended, now + ms(10));
-        ledger.decide(now + ms(10) + JOINED);
+        ledger.note_ended(&crashed, now + ms(10));
+        ledger.decide(now + ms(10) + JOIN_WINDOW);
     }
     let end = ROUNDS * 100 + 50;
-    is_held(&ledger, "cause", end) && !bystanders.iter().any(|body| is_held(&ledger, body, end))
+    is_quarantined(&ledger, "cause", end)
+        && !bystanders.iter().any(|body| is_quarantined(&ledger, body, end))
 }
 
-/// What is kept of suspects is bounded, whatever callers send: the newest are kept.
+/// The number of suspects is bounded, whatever callers send: the newest are kept.
 #[test]
-fn the_suspects_that_are_kept_are_bounded() {
-    const MOST: u64 = 1_024;
+fn the_number_of_suspects_is_bounded() {
+    const MAX: u64 = 1_024;
     let mut ledger = QuarantineLedger::default();
-    for number in 1..=2 * MOST {
-        // Two ends each, from which on it shows.
-        end_under(&mut ledger, &format!("b{number}"), 2 * number, at(number));
-        end_under(&mut ledger, &format!("b{number}"), 2 * number + 1, at(number));
+    for number in 1..=2 * MAX {
+        // Two crashes each, which make it a suspect.
+        crash_under(&mut ledger, &format!("b{number}"), 2 * number, at(number));
+        crash_under(&mut ledger, &format!("b{number}"), 2 * number + 1, at(number));
     }
     let is_kept = |number: &u64| ledger.is_suspect(&digest(&format!("b{number}")));
-    assert_eq!((1..=2 * MOST).filter(is_kept).count() as u64, MOST);
-    assert!(is_kept(&(2 * MOST)) && !is_kept(&1));
+    assert_eq!((1..=2 * MAX).filter(is_kept).count() as u64, MAX);
+    assert!(is_kept(&(2 * MAX)) && !is_kept(&1));
 }
 
-/// Nobody can have another account's request held back by sending its body.
+/// A caller cannot have another account's request quarantined by sending its body.
 #[test]
 fn the_same_body_from_two_accounts_is_two_requests() {
     let of = |account| RequestDigest::of(account, "h.example", "/x", b"a");
     assert_ne!(of(Some("acme")), of(Some("other")));
     assert_ne!(of(Some("acme")), of(None));
-    assert_ne!(of(Some("")), of(None), "no account is not one without a name");
+    assert_ne!(of(Some("")), of(None), "no account differs from an account with an empty name");
     let ledger = ledger_of("a", &[1, 2, 3]);
     assert_eq!(of(Some("acme")), digest("a"));
     assert!(ledger.holds().held_for(&of(Some("acme")), at(300)).is_some());
