--- a/src/relay/decide/evacuation.rs
+++ b/src/relay/decide/evacuation.rs
@@ -1,7 +1,7 @@
-//! Failure domains that are taken out of service: nothing more is sent to their targets.
+//! Failure domains that are out of service: nothing more is sent to their targets.
 //!
-//! What is known of them is proven as the configuration is, by the same reads and the same
-//! answers of other entries, so that no entry serves by older knowledge than its lease allows.
+//! The list of these domains is proven as the configuration is, by the same reads and the same
+//! answers of other entries, so no entry serves with older knowledge than its lease allows.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -9,29 +9,30 @@
 
 use crate::time::Tick;
 
-/// Time after the store came back from a copy within which domains that it leaves out are
-/// not taken to be in service: they are written again meanwhile.
-const REWRITTEN_SPAN: Duration = Duration::from_secs(5);
+/// Time after the store was restored from a copy for which a domain that it omits is still out
+/// of service: evacuations that the copy lacks are written again meanwhile.
+const REWRITE_WINDOW: Duration = Duration::from_secs(5);
 
-/// The domains that are out of service.
+/// The failure domains that are out of service.
 #[derive(Debug, Default)]
 pub struct EvacuationSet {
     domains: BTreeSet<Arc<str>>,
     proven_at: Option<Tick>,
     epoch: u64,
-    /// When what the store leaves out counts again.
-    settled_at: Tick,
+    /// When a domain that the store omits counts as in service again.
+    trusted_at: Tick,
 }
 
 impl EvacuationSet {
-    /// The domains.
+    /// Returns the domains.
     #[must_use]
     pub fn domains(&self) -> &BTreeSet<Arc<str>> {
         &self.domains
     }
 
-    /// Takes the domains that were out of service at `proven_at`, in an epoch of the store.
-    /// Returns true where that changes anything.
+    /// Applies the domains that were out of service at `proven_at`, in an epoch of the store.
+    ///
+    /// Returns `true` if that changes the set.
     pub fn take(
         &mut self,
         domains: impl IntoIterator<Item = Arc<str>>,
@@ -43,12 +44,12 @@
             return false;
         }
         if epoch > self.epoch && self.proven_at.is_some() {
-            self.settled_at = now + REWRITTEN_SPAN;
+            self.trusted_at = now + REWRITE_WINDOW;
         }
         self.epoch = epoch;
         self.proven_at = Some(proven_at);
         let mut domains: BTreeSet<Arc<str>> = domains.into_iter().collect();
-        if now < self.settled_at {
+        if now < self.trusted_at {
             domains.extend(self.domains.iter().cloned());
         }
         let is_changed = domains != self.domains;
--- a/src/relay/decide/permit_desk.rs
+++ b/src/relay/decide/permit_desk.rs
@@ -1,9 +1,9 @@
-//! Permits to send to a target that takes a bounded rate from all entries together.
+//! Permits to send to a target whose rate is limited over all entries together.
 //!
-//! No entry knows what the others send, nor how many there are. So one agent gives all
-//! permits for a target: the one beside it, or, for targets without one, an agent that all
-//! entries choose alike. An entry without a permit sends nothing, whether it was idle, has
-//! just started or is cut off, and the sum holds for any number of entries.
+//! An entry knows neither what the others send nor how many there are. So one agent issues all
+//! permits for a target: the agent beside it or, for a target without one, an agent that all
+//! entries select in the same way. An entry without a permit sends nothing, whether it was idle,
+//! has just started or is disconnected, so the sum holds for any number of entries.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -15,44 +15,44 @@
 use super::target_state::TargetLife;
 use crate::time::Tick;
 
-/// Most targets for which one agent gives permits.
-const MOST_GATES: usize = 1_024;
+/// Maximum number of targets for which one agent issues permits.
+const MAX_SCHEDULES: usize = 1_024;
 
-/// How much slower the second agent gives permits than the first one: entries may turn to
+/// Factor by which the second agent issues permits more slowly than the first. An entry may use
 /// either, and together they stay within one and a half times the rate.
 const SECOND_DIVISOR: u32 = 2;
 
-/// What both agents together give, in times the rate.
-pub(super) const SUM_PART: f64 = 1.0 + 1.0 / SECOND_DIVISOR as f64;
+/// Rate of both agents together, as a multiple of the target's rate.
+pub(super) const COMBINED_FACTOR: f64 = 1.0 + 1.0 / SECOND_DIVISOR as f64;
 
-/// Turns that both agents may give in any span beside that: one that was kept, and the one
-/// at the edge of the span, by each.
-pub(super) const LEAST_SPARE: f64 = 4.0;
+/// Permits that both agents may issue in any window beyond that: each agent one unused permit
+/// that it carried over, and one at the edge of the window.
+pub(super) const EXTRA_PERMITS: f64 = 4.0;
 
-/// An entry's question for a permit.
+/// An entry's request for a permit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PermitAsk {
-    /// What the entry knows of the target's rate: the agent may have started since.
+    /// What the entry knows about the target's rate, as the agent may have restarted since.
     #[serde(rename = "r")]
     pub news: RateNews,
-    /// What bounds the target while it is cold.
+    /// The limit of the target while it is cold.
     #[serde(rename = "c", default, skip_serializing_if = "Option::is_none")]
     pub warmup: Option<WarmupNews>,
-    /// Longest time that the request would wait for its turn, in milliseconds.
+    /// Maximum time that the request would wait for its permit, in milliseconds.
     #[serde(rename = "w")]
     pub most_wait_ms: u32,
-    /// Whether the first agent did not answer, and this is the second.
+    /// Whether this agent is the second, asked because the first did not answer.
     #[serde(rename = "s")]
     pub is_second: bool,
 }
 
-/// What an entry knows of a target that is cold.
+/// What an entry knows about a cold target.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WarmupNews {
-    /// Requests a second that it takes from all entries together.
+    /// Requests per second that the target accepts from all entries together.
     #[serde(rename = "r")]
     pub rate: RateLimit,
-    /// For how long, in milliseconds.
+    /// Time left until it is warm, in milliseconds.
     #[serde(rename = "l")]
     pub left_ms: u32,
 }
@@ -60,78 +60,78 @@
 /// The agent's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PermitReply {
-    /// One request may be sent after that time.
+    /// One request may be sent after the given time.
     #[serde(rename = "g")]
     Granted {
         /// Milliseconds from now.
         after_ms: u32,
     },
-    /// There is none so soon.
+    /// No permit is available within the maximum wait.
     #[serde(rename = "r")]
     Refused {
-        /// Milliseconds until there is one.
+        /// Milliseconds until one may be available.
         wait_ms: u32,
     },
-    /// The target takes any number again.
+    /// The target is not rate-limited, so no permit is needed.
     #[serde(rename = "o")]
     Open,
 }
 
-/// Longest time that an entry is told to wait: others may have no more requests by then.
-const LONGEST_WAIT: Duration = Duration::from_secs(10);
+/// Maximum wait returned to a refused entry: other entries may have no more requests by then.
+const MAX_WAIT: Duration = Duration::from_secs(10);
 
-/// The turns of one target.
+/// When the permits of one target are due.
 #[derive(Debug)]
-struct PermitGate {
-    /// When the next turn is.
+struct PermitSchedule {
+    /// When the next permit is due.
     next_at: Tick,
-    /// The turn that the next entry is told of which is refused: each is told of another.
-    told_at: Tick,
-    /// Time between two turns.
-    step: Duration,
+    /// When the next entry that is refused may ask again; each is given a different time.
+    retry_at: Tick,
+    /// Time between two permits.
+    interval: Duration,
 }
 
-impl PermitGate {
-    /// A gate that has given nothing. What an earlier life of this process gave is not
-    /// known, so the first turn comes after a whole step.
-    fn new(step: Duration, now: Tick) -> Self {
-        PermitGate { next_at: now + step, told_at: Tick::default(), step }
+impl PermitSchedule {
+    /// Creates a schedule that has issued nothing. The permits that a former process of this
+    /// agent issued are not known, so the first one is due after a whole interval.
+    fn new(interval: Duration, now: Tick) -> Self {
+        PermitSchedule { next_at: now + interval, retry_at: Tick::default(), interval }
     }
 
-    fn set_step(&mut self, step: Duration, now: Tick) {
-        if step != self.step {
-            self.step = step;
-            self.next_at = self.next_at.min(now + step);
-            self.told_at = self.next_at;
+    fn set_interval(&mut self, interval: Duration, now: Tick) {
+        if interval != self.interval {
+            self.interval = interval;
+            self.next_at = self.next_at.min(now + interval);
+            self.retry_at = self.next_at;
         }
     }
 
-    fn ask(&mut self, most_wait: Duration, now: Tick) -> PermitReply {
-        // One turn that nobody took is kept, no more.
-        self.next_at = self.next_at.max(now - self.step);
+    fn request(&mut self, max_wait: Duration, now: Tick) -> PermitReply {
+        // At most one unused permit is carried over.
+        self.next_at = self.next_at.max(now - self.interval);
         let wait = self.next_at.since(now);
-        if wait > most_wait {
-            let told_at = self.told_at.max(self.next_at).min(now + LONGEST_WAIT);
-            self.told_at = told_at + self.step;
-            return PermitReply::Refused { wait_ms: to_millis(told_at.since(now)) };
+        if wait > max_wait {
+            let retry_at = self.retry_at.max(self.next_at).min(now + MAX_WAIT);
+            self.retry_at = retry_at + self.interval;
+            return PermitReply::Refused { wait_ms: to_millis(retry_at.since(now)) };
         }
-        self.next_at = self.next_at + self.step;
+        self.next_at = self.next_at + self.interval;
         PermitReply::Granted { after_ms: to_millis(wait) }
     }
 }
 
-/// Milliseconds, rounded up: nobody is to come too soon.
+/// Converts to milliseconds, rounded up so that no request is sent too early.
 fn to_millis(span: Duration) -> u32 {
     span.as_micros().div_ceil(1_000).try_into().unwrap_or(u32::MAX)
 }
 
-/// What an agent knows of rates, and the permits that it gives.
+/// Issues the permits of an agent, by the rate limits that it knows.
 #[derive(Debug, Default)]
 pub struct PermitDesk {
-    book: RateBook,
-    /// By target, and whether it is the second agent that is asked.
-    gates: HashMap<(TargetLife, bool), PermitGate>,
-    /// Targets that entries know to be cold.
+    rates: RateBook,
+    /// Schedules by target instance, and whether this is its second agent.
+    schedules: HashMap<(TargetLife, bool), PermitSchedule>,
+    /// Targets that an entry has reported as cold.
     cold: HashMap<TargetLife, ColdTarget>,
 }
 
@@ -142,87 +142,90 @@
 }
 
 impl PermitDesk {
-    /// Answers an entry.
-    pub fn on_ask(&mut self, ask: &PermitAsk, now: Tick) -> PermitReply {
-        self.book.take(&ask.news, now);
-        let life = &ask.news.life;
-        if let Some(warmup) = ask.warmup {
-            self.note_cold(life, warmup, now);
+    /// Answers the request of an entry.
+    pub fn on_ask(&mut self, request: &PermitAsk, now: Tick) -> PermitReply {
+        self.rates.take(&request.news, now);
+        let instance = &request.news.life;
+        if let Some(warmup) = request.warmup {
+            self.record_cold(instance, warmup, now);
         }
-        let Some(rate) = self.rate_of(life, now) else { return PermitReply::Open };
-        let most_wait = Duration::from_millis(ask.most_wait_ms.into());
-        self.gate(life, ask.is_second, rate, now).ask(most_wait, now)
+        let Some(rate) = self.rate_of(instance, now) else { return PermitReply::Open };
+        let max_wait = Duration::from_millis(request.most_wait_ms.into());
+        self.schedule(instance, request.is_second, rate, now).request(max_wait, now)
     }
 
-    /// Takes what an entry sent without a permit, since it had to: it counts as well.
-    pub fn note_spent(&mut self, life: &TargetLife, now: Tick) {
-        if let Some(rate) = self.rate_of(life, now) {
-            let gate = self.gate(life, false, rate, now);
-            gate.next_at = gate.next_at.max(now - gate.step) + gate.step;
+    /// Counts a request that an entry had to send without a permit against the schedule.
+    pub fn note_spent(&mut self, instance: &TargetLife, now: Tick) {
+        if let Some(rate) = self.rate_of(instance, now) {
+            let schedule = self.schedule(instance, false, rate, now);
+            schedule.next_at = schedule.next_at.max(now - schedule.interval) + schedule.interval;
         }
     }
 
-    /// Returns true where a target of that name takes a bounded rate.
+    /// Returns `true` if any instance of the named target is rate-limited.
     #[must_use]
     pub fn is_scarce(&self, name: &str) -> bool {
-        self.book.is_scarce(name)
+        self.rates.is_scarce(name)
     }
 
-    /// Takes what an entry knows of rates.
-    pub fn take_news(&mut self, news: &[RateNews], now: Tick) {
-        for news in news {
-            self.book.take(news, now);
+    /// Applies the rate limits that an entry knows.
+    pub fn take_news(&mut self, updates: &[RateNews], now: Tick) {
+        for update in updates {
+            self.rates.take(update, now);
         }
     }
 
-    /// What is told to an entry that was told before as `told` says.
-    pub fn to_news(&mut self, told: &mut RateTold, now: Tick) -> Vec<RateNews> {
-        self.book.to_news(told, now)
+    /// Returns the updates for the next message to an entry, and records them in `announced`.
+    pub fn to_news(&mut self, announced: &mut RateTold, now: Tick) -> Vec<RateNews> {
+        self.rates.to_news(announced, now)
     }
 
-    /// Forgets what is too old.
+    /// Removes outdated rates, cold targets and schedules.
     pub fn expire(&mut self, now: Tick) {
-        // Entries believe what is old for longer than agents tell of it.
-        const SPREAD: f64 = 0.0;
-        self.book.expire(SPREAD, now);
+        // Entries keep limits for longer than agents announce them.
+        const JITTER: f64 = 0.0;
+        self.rates.expire(JITTER, now);
         self.cold.retain(|_, cold| now < cold.until);
-        let (book, cold) = (&self.book, &self.cold);
-        self.gates.retain(|(life, _), _| book.rate_of(life).is_some() || cold.contains_key(life));
+        let (rates, cold) = (&self.rates, &self.cold);
+        self.schedules.retain(|(at, _), _| rates.rate_of(at).is_some() || cold.contains_key(at));
     }
 
-    /// The rate that a target takes, whether named or while it is cold.
-    fn rate_of(&self, life: &TargetLife, now: Tick) -> Option<RateLimit> {
-        let cold = self.cold.get(life).filter(|cold| now < cold.until);
-        RateLimit::lower(self.book.rate_of(life), cold.map(|cold| cold.rate))
+    /// Returns the limit of a target: the one that it states or, while it is cold, its warm-up
+    /// rate, whichever is lower.
+    fn rate_of(&self, instance: &TargetLife, now: Tick) -> Option<RateLimit> {
+        let cold = self.cold.get(instance).filter(|cold| now < cold.until);
+        RateLimit::lower(self.rates.rate_of(instance), cold.map(|cold| cold.rate))
     }
 
-    /// Notes a cold target. It binds entries as well that do not know it to be cold.
-    fn note_cold(&mut self, life: &TargetLife, warmup: WarmupNews, now: Tick) {
-        if self.cold.len() >= MOST_GATES && !self.cold.contains_key(life) {
+    /// Records a cold target. Its limit also binds entries that do not know that it is cold.
+    fn record_cold(&mut self, instance: &TargetLife, warmup: WarmupNews, now: Tick) {
+        if self.cold.len() >= MAX_SCHEDULES && !self.cold.contains_key(instance) {
             self.cold.retain(|_, cold| now < cold.until);
         }
         let until = now + Duration::from_millis(warmup.left_ms.into());
-        let cold = self.cold.entry(life.clone()).or_insert(ColdTarget { rate: warmup.rate, until });
+        let cold =
+            self.cold.entry(instance.clone()).or_insert(ColdTarget { rate: warmup.rate, until });
         *cold = ColdTarget { rate: warmup.rate, until: cold.until.max(until) };
     }
 
-    fn gate(
+    fn schedule(
         &mut self,
-        life: &TargetLife,
+        instance: &TargetLife,
         is_second: bool,
         rate: RateLimit,
         now: Tick,
-    ) -> &mut PermitGate {
-        let step = rate.to_step() * if is_second { SECOND_DIVISOR } else { 1 };
-        let key = (life.clone(), is_second);
-        if self.gates.len() >= MOST_GATES && !self.gates.contains_key(&key) {
-            let idle = self.gates.iter().min_by_key(|(_, gate)| gate.next_at);
+    ) -> &mut PermitSchedule {
+        let interval = rate.to_interval() * if is_second { SECOND_DIVISOR } else { 1 };
+        let key = (instance.clone(), is_second);
+        if self.schedules.len() >= MAX_SCHEDULES && !self.schedules.contains_key(&key) {
+            let idle = self.schedules.iter().min_by_key(|(_, schedule)| schedule.next_at);
             if let Some(idle) = idle.map(|(key, _)| key.clone()) {
-                self.gates.remove(&idle);
+                self.schedules.remove(&idle);
             }
         }
-        let gate = self.gates.entry(key).or_insert_with(|| PermitGate::new(step, now));
-        gate.set_step(step, now);
-        gate
+        let schedule =
+            self.schedules.entry(key).or_insert_with(|| PermitSchedule::new(interval, now));
+        schedule.set_interval(interval, now);
+        schedule
     }
 }
--- a/src/relay/decide/rate_book.rs
+++ b/src/relay/decide/rate_book.rs
@@ -1,7 +1,7 @@
-//! Which targets take a bounded rate, as far as it is known here.
+//! Known rate limits of targets.
 //!
-//! Entries and agents tell one another of it beside the notes that they send anyway, so that
-//! an entry that was idle knows a rate before it sends its first request there.
+//! Entries and agents exchange them along with the peer messages that they send anyway, so an
+//! entry that was idle knows the limit of a target before it sends its first request there.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -12,39 +12,39 @@
 use super::target_state::TargetLife;
 use crate::time::Tick;
 
-/// Most targets of which a rate is known.
-const MOST_KNOWN: usize = 1_024;
+/// Maximum number of targets in the table.
+const MAX_KNOWN: usize = 1_024;
 
-/// Most targets that one note tells of: it has to fit into a datagram.
-const MOST_TOLD: usize = 4;
+/// Maximum number of targets in one peer message, which has to fit into a datagram.
+const MAX_UPDATES: usize = 4;
 
-/// Times that a change is told of: a datagram may be lost.
-const CHANGE_NOTES: u32 = 3;
+/// Number of rounds in which a change is announced, as a datagram may be lost.
+const CHANGE_ROUNDS: u32 = 3;
 
-/// Occasions of which one is used to tell of what has not changed.
-const QUIET_OCCASIONS: u32 = 8;
+/// Rounds between two announcements of limits that have not changed.
+const REFRESH_INTERVAL: u32 = 8;
 
-/// Part of a rate by which another one differs that is told at once.
-const NOTABLE_PART: f64 = 0.25;
+/// Relative difference between two rates above which a change is announced at once.
+const NOTABLE_CHANGE: f64 = 0.25;
 
-/// Age up to which word of the same rate is nothing new. What is passed on grows younger by
-/// the time that it is under way, and would go round for ever.
-const SAME_SPAN: Duration = Duration::from_millis(500);
+/// Age difference up to which an update with the same limit is a duplicate. A forwarded update
+/// appears younger by its time in transit, and without this it would circulate forever.
+const SAME_WINDOW: Duration = Duration::from_millis(500);
 
-/// Least time for which a rate is believed of which nothing more is heard; some of that more
-/// by the process, so that not all try the target at the same moment.
-const KEPT_SPAN: Duration = Duration::from_secs(600);
+/// Minimum time for which a limit applies without further updates. Each process adds a part of
+/// it, so that they do not all try the target at the same moment.
+const RATE_TTL: Duration = Duration::from_secs(600);
 
-/// What one process tells another of a target's rate.
+/// Update of a target's rate limit, as exchanged between processes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RateNews {
     /// The target.
     #[serde(rename = "l")]
     pub life: TargetLife,
-    /// The rate that it takes, none where it names none any more.
+    /// The limit; `None` if the target states none any more.
     #[serde(rename = "r")]
     pub rate: Option<RateLimit>,
-    /// How long that is known, in milliseconds.
+    /// Age of the information, in milliseconds.
     #[serde(rename = "a")]
     pub age_ms: u32,
 }
@@ -55,34 +55,37 @@
     at: Tick,
 }
 
-/// What another process was told of rates.
+/// Which change of a [`RateBook`] was announced to another process, and in how many rounds.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RateTold {
     change: u64,
-    notes: u32,
+    rounds: u32,
 }
 
-/// The newest word of each target's rate.
+/// The latest known rate limit of each target.
 #[derive(Debug, Default)]
 pub struct RateBook {
     known: HashMap<TargetLife, KnownRate>,
-    /// Counts changes that are worth telling at once.
+    /// Number of changes that had to be announced at once.
     change: u64,
-    /// Where the next note begins, where not all fit into one.
+    /// Position of the first target in the next message, as not all may fit into one.
     cursor: usize,
 }
 
 impl RateBook {
-    /// Takes a rate that an answer names. Returns true where it was not known.
-    pub fn note_named(&mut self, life: &TargetLife, rate: RateLimit, now: Tick) -> bool {
-        self.put(life, KnownRate { rate: Some(rate), at: now })
+    /// Records a limit that an answer states.
+    ///
+    /// Returns `true` if the limit is new.
+    pub fn note_named(&mut self, instance: &TargetLife, rate: RateLimit, now: Tick) -> bool {
+        self.put(instance, KnownRate { rate: Some(rate), at: now })
     }
 
-    /// Takes an answer that names no rate, to a request that was sent at `sent_at`. Returns
-    /// true where that ends one: answers may overtake one another, so the request has to be
-    /// later than all that is known.
-    pub fn note_silent(&mut self, life: &TargetLife, sent_at: Tick) -> bool {
-        let known = self.known.get_mut(life);
+    /// Records an answer that states no limit, to a request that was sent at `sent_at`.
+    ///
+    /// Returns `true` if that ends a known limit. Answers may overtake one another, so only a
+    /// request that was sent later than the limit was learned ends it.
+    pub fn note_silent(&mut self, instance: &TargetLife, sent_at: Tick) -> bool {
+        let known = self.known.get_mut(instance);
         let ended = known.filter(|known| known.rate.is_some() && known.at < sent_at);
         let Some(ended) = ended else { return false };
         *ended = KnownRate { rate: None, at: sent_at };
@@ -90,102 +93,107 @@
         true
     }
 
-    /// Takes what another process tells. Returns true where it changes anything.
-    pub fn take(&mut self, news: &RateNews, now: Tick) -> bool {
-        let at = now - Duration::from_millis(news.age_ms.into());
-        let told = KnownRate { rate: news.rate, at };
-        match self.known.get(&news.life) {
+    /// Applies an update of another process.
+    ///
+    /// Returns `true` if it changes the limit of the target.
+    pub fn take(&mut self, update: &RateNews, now: Tick) -> bool {
+        let at = now - Duration::from_millis(update.age_ms.into());
+        let new = KnownRate { rate: update.rate, at };
+        match self.known.get(&update.life) {
             Some(known) if known.at >= at => false,
-            Some(known) if known.rate == told.rate && at.since(known.at) < SAME_SPAN => false,
-            // That there is none is what everybody takes to be so.
-            None if told.rate.is_none() => false,
-            _ => self.put(&news.life, told),
+            Some(known) if known.rate == new.rate && at.since(known.at) < SAME_WINDOW => false,
+            // A target that is not in the table has no limit.
+            None if new.rate.is_none() => false,
+            _ => self.put(&update.life, new),
         }
     }
 
-    /// The rate that a target takes, none where it takes any.
+    /// Returns the limit of a target; `None` if it has none.
     #[must_use]
-    pub fn rate_of(&self, life: &TargetLife) -> Option<RateLimit> {
-        self.known.get(life)?.rate
+    pub fn rate_of(&self, instance: &TargetLife) -> Option<RateLimit> {
+        self.known.get(instance)?.rate
     }
 
-    /// Returns true where a target of that name takes a bounded rate.
+    /// Returns `true` if any instance of the named target has a limit.
     #[must_use]
     pub fn is_scarce(&self, name: &str) -> bool {
-        let known = self.known.iter().filter(|(life, _)| &*life.incarnation == name);
+        let known = self.known.iter().filter(|(instance, _)| &*instance.incarnation == name);
         known.into_iter().any(|(_, known)| known.rate.is_some())
     }
 
-    /// What is known of one target.
+    /// Returns what is known about one target, as an update; `None` if nothing is.
     #[must_use]
-    pub fn to_news_of(&self, life: &TargetLife, now: Tick) -> Option<RateNews> {
-        let known = self.known.get(life)?;
+    pub fn to_news_of(&self, instance: &TargetLife, now: Tick) -> Option<RateNews> {
+        let known = self.known.get(instance)?;
         let age_ms = now.since(known.at).as_millis().try_into().unwrap_or(u32::MAX);
-        Some(RateNews { life: life.clone(), rate: known.rate, age_ms })
+        Some(RateNews { life: instance.clone(), rate: known.rate, age_ms })
     }
 
-    /// What is told now to a process that was told before as `told` says: of changes at
-    /// once, and of all from time to time. What does not fit into one note is in the next.
-    pub fn to_news(&mut self, told: &mut RateTold, now: Tick) -> Vec<RateNews> {
-        if told.change != self.change {
-            *told = RateTold { change: self.change, notes: 0 };
+    /// Returns the updates for the next message to a process, and records them in `announced`.
+    ///
+    /// Changes are announced at once, and all known limits from time to time. Targets that do not fit
+    /// into one message are in the next.
+    pub fn to_news(&mut self, announced: &mut RateTold, now: Tick) -> Vec<RateNews> {
+        if announced.change != self.change {
+            *announced = RateTold { change: self.change, rounds: 0 };
         }
-        told.notes += 1;
-        let notes = told.notes;
-        if notes > CHANGE_NOTES && !notes.is_multiple_of(QUIET_OCCASIONS) {
+        announced.rounds += 1;
+        let rounds = announced.rounds;
+        if rounds > CHANGE_ROUNDS && !rounds.is_multiple_of(REFRESH_INTERVAL) {
             return Vec::new();
         }
-        let mut lives: Vec<_> = self.known.keys().cloned().collect();
-        lives.sort_unstable();
-        let first = self.cursor.checked_rem(lives.len()).unwrap_or(0);
-        self.cursor = first + MOST_TOLD;
-        lives.rotate_left(first);
-        lives.truncate(MOST_TOLD);
-        lives.iter().filter_map(|life| self.to_news_of(life, now)).collect()
+        let mut instances: Vec<_> = self.known.keys().cloned().collect();
+        instances.sort_unstable();
+        let first = self.cursor.checked_rem(instances.len()).unwrap_or(0);
+        self.cursor = first + MAX_UPDATES;
+        instances.rotate_left(first);
+        instances.truncate(MAX_UPDATES);
+        instances.iter().filter_map(|instance| self.to_news_of(instance, now)).collect()
     }
 
-    /// Forgets what is too old to be believed. `spread`, from 0 to 1, is the process's own.
-    /// Returns true where anything was.
-    pub fn expire(&mut self, spread: f64, now: Tick) -> bool {
+    /// Removes outdated limits. `jitter`, from 0 to 1, differs between processes.
+    ///
+    /// Returns `true` if any was removed.
+    pub fn expire(&mut self, jitter: f64, now: Tick) -> bool {
         let before = self.known.len();
-        let kept = KEPT_SPAN.mul_f64(1.0 + spread);
-        self.known.retain(|_, known| now.since(known.at) < kept);
+        let ttl = RATE_TTL.mul_f64(1.0 + jitter);
+        self.known.retain(|_, known| now.since(known.at) < ttl);
         self.known.len() < before
     }
 
-    /// Targets of which something is known.
+    /// Returns the number of targets in the table.
     #[must_use]
     pub fn len(&self) -> usize {
         self.known.len()
     }
 
-    /// Returns true where nothing is known.
+    /// Returns `true` if the table has no target.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.known.is_empty()
     }
 
-    fn put(&mut self, life: &TargetLife, word: KnownRate) -> bool {
-        if self.known.len() >= MOST_KNOWN && !self.known.contains_key(life) {
+    fn put(&mut self, instance: &TargetLife, new: KnownRate) -> bool {
+        if self.known.len() >= MAX_KNOWN && !self.known.contains_key(instance) {
             let oldest = self.known.iter().min_by_key(|(_, known)| known.at);
-            if let Some(oldest) = oldest.map(|(life, _)| life.clone()) {
+            if let Some(oldest) = oldest.map(|(instance, _)| instance.clone()) {
                 self.known.remove(&oldest);
             }
         }
-        let former = self.known.insert(life.clone(), word).and_then(|former| former.rate);
-        if is_notable(former, word.rate) {
+        let former = self.known.insert(instance.clone(), new).and_then(|former| former.rate);
+        if is_notable(former, new.rate) {
             self.change += 1;
         }
-        former != word.rate
+        former != new.rate
     }
 }
 
-/// Returns true where others are to be told of a change at once.
+/// Returns `true` if a change has to be announced at once.
 fn is_notable(former: Option<RateLimit>, rate: Option<RateLimit>) -> bool {
     match (former, rate) {
         (Some(former), Some(rate)) => {
             let (former, rate) = (former.per_second(), rate.per_second());
-            (former - rate).abs() > NOTABLE_PART * former.max(rate)
+            (former - rate).abs() > NOTABLE_CHANGE * former.max(rate)
         }
         (former, rate) => former.is_some() != rate.is_some(),
     }
--- a/src/relay/decide/rate_limit.rs
+++ b/src/relay/decide/rate_limit.rs
@@ -1,23 +1,23 @@
-//! How many requests a second a target takes from all entries together.
+//! Requests per second that a target accepts from all entries together.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// Longest time between two requests, however low the rate: only an answer tells that the
-/// rate has changed.
-const LONGEST_STEP: Duration = Duration::from_secs(10);
+/// Maximum interval between two requests, however low the rate: only an answer can announce
+/// that the rate has changed.
+const MAX_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Requests a second beyond which a rate bounds nothing.
-const HIGHEST: f64 = 1e6;
+/// Requests per second above which a rate is no bound in practice.
+const MAX_RATE: f64 = 1e6;
 
-/// Requests a second that a target takes from all entries together.
+/// Requests per second that a target accepts from all entries together.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct RateLimit(f64);
 
 impl RateLimit {
-    /// A rate, none where the number is no rate. What is too high to bound anything counts
-    /// as a million.
+    /// Creates a limit; `None` if the number is negative or not finite. Limits above a million
+    /// are reduced to a million.
     ///
     /// # Example
     ///
@@ -29,17 +29,17 @@
     /// ```
     #[must_use]
     pub fn from_per_second(number: f64) -> Option<Self> {
-        // A negative zero is a zero.
-        (number.is_finite() && number >= 0.0).then(|| RateLimit(number.abs().min(HIGHEST)))
+        // `abs` turns a negative zero into zero.
+        (number.is_finite() && number >= 0.0).then(|| RateLimit(number.abs().min(MAX_RATE)))
     }
 
-    /// Requests a second.
+    /// Returns the requests per second.
     #[must_use]
     pub fn per_second(self) -> f64 {
         self.0
     }
 
-    /// The lower of two rates, none where neither bounds anything.
+    /// Returns the lower of two limits; `None` if there is neither.
     #[must_use]
     pub fn lower(one: Option<Self>, other: Option<Self>) -> Option<Self> {
         match (one, other) {
@@ -48,28 +48,28 @@
         }
     }
 
-    /// Time between two requests.
+    /// Returns the interval between two requests.
     #[must_use]
-    pub fn to_step(self) -> Duration {
-        let step = Duration::try_from_secs_f64(self.0.recip());
-        step.map_or(LONGEST_STEP, |step| step.min(LONGEST_STEP))
+    pub fn to_interval(self) -> Duration {
+        let interval = Duration::try_from_secs_f64(self.0.recip());
+        interval.map_or(MAX_INTERVAL, |interval| interval.min(MAX_INTERVAL))
     }
 }
 
-/// What an answer says of the rate that its target takes.
+/// What an answer states about the rate limit of its target.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum RateWord {
-    /// Nothing: it names none.
+    /// The answer states no limit.
     #[default]
     Silent,
-    /// Something that is no rate.
+    /// The answer states a value that is not a valid limit.
     Unreadable,
-    /// It names a rate.
+    /// The answer states a limit.
     Named(RateLimit),
 }
 
 impl RateWord {
-    /// Reads the values of an answer; of several rates the lowest holds.
+    /// Parses the values of an answer; the lowest of several limits applies.
     ///
     /// # Example
     ///
@@ -81,20 +81,20 @@
     /// assert_eq!(RateWord::from_texts(["3", "2"]), RateWord::from_texts(["2.0"]));
     /// ```
     pub fn from_texts<'a>(texts: impl IntoIterator<Item = &'a str>) -> Self {
-        let mut word = RateWord::Silent;
+        let mut notice = RateWord::Silent;
         for text in texts {
             let rate = text.trim().parse().ok().and_then(RateLimit::from_per_second);
-            word = match (word, rate) {
+            notice = match (notice, rate) {
                 (RateWord::Named(known), Some(rate)) if known <= rate => RateWord::Named(known),
                 (_, Some(rate)) => RateWord::Named(rate),
                 (RateWord::Named(known), None) => RateWord::Named(known),
                 (_, None) => RateWord::Unreadable,
             };
         }
-        word
+        notice
     }
 
-    /// The rate that it names, if any.
+    /// Returns the limit that the answer states; `None` if it states no valid one.
     #[must_use]
     pub fn rate(self) -> Option<RateLimit> {
         match self {
--- a/src/relay/decide/retry_budget.rs
+++ b/src/relay/decide/retry_budget.rs
@@ -1,61 +1,62 @@
-//! How many second attempts this process may make.
+//! Bounds the retries of this process.
 //!
-//! All entries together may send a service a share of its requests again, and some more in
-//! each window. The share is each entry's own: the sum over all holds for any number of them,
-//! as long as none rounds it up. What is allowed beside it is given by one agent for all
-//! ([`super::slack_gate`]): divided among entries, it would depend on how many there are, and
-//! on what those had spent that have just started again.
+//! All entries together may retry a ratio of a service's requests, plus a fixed number in each
+//! window. Each entry applies the ratio to its own requests: the sum holds for any number of
+//! entries, as long as none rounds its share up. The fixed number is granted by one agent for
+//! all entries ([`super::slack_gate`]): if it were divided among entries, each entry's part
+//! would depend on their number, and on what those that have restarted had spent before.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use crate::time::Tick;
 
-/// Part of the share that is used: other entries count at other moments.
-const USED_PART: f64 = 0.7;
+/// Part of the ratio that an entry uses, as entries do not count their windows at the same
+/// moment.
+const USED_SHARE: f64 = 0.7;
 
-/// The bound on second attempts over all entries.
+/// The bound on the retries of all entries.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBound {
-    /// Second attempts for each request.
+    /// Retries per request.
     pub ratio: f64,
-    /// Second attempts in each window beside that.
+    /// Retries in each window beyond the ratio.
     pub slack: f64,
     /// Length of the window.
     pub window: Duration,
 }
 
-/// Counts requests and second attempts of one service.
+/// Counts the requests and retries of one service.
 #[derive(Debug)]
 pub struct RetryBudget {
     bound: RetryBound,
     requests: VecDeque<Tick>,
     retries: VecDeque<Tick>,
-    /// When a second attempt was made of which no agent knows.
-    alone_at: Option<Tick>,
-    /// When an agent may give one again.
-    slack_at: Tick,
+    /// When the last retry was made without a grant because no agent answered.
+    ungranted_at: Option<Tick>,
+    /// When an agent may be asked for a grant again.
+    ask_at: Tick,
 }
 
 impl RetryBudget {
-    /// A budget of which nothing is spent.
+    /// Creates a budget of which nothing is spent.
     #[must_use]
     pub fn new(bound: RetryBound) -> Self {
         RetryBudget {
             bound,
             requests: VecDeque::new(),
             retries: VecDeque::new(),
-            alone_at: None,
-            slack_at: Tick::default(),
+            ungranted_at: None,
+            ask_at: Tick::default(),
         }
     }
 
-    /// Takes a changed bound.
+    /// Sets the bound, when the configuration changes.
     pub fn set_bound(&mut self, bound: RetryBound) {
         self.bound = bound;
     }
 
-    /// The bound over all entries.
+    /// Returns the bound on the retries of all entries.
     #[must_use]
     pub fn bound(&self) -> RetryBound {
         self.bound
@@ -67,14 +68,14 @@
         self.requests.push_back(now);
     }
 
-    /// Returns true where a second attempt of the own share is left.
+    /// Returns `true` if this entry's ratio leaves a retry.
     pub fn is_left(&mut self, now: Tick) -> bool {
         self.expire(now);
-        let allowed = self.bound.ratio * self.requests.len() as f64 * USED_PART;
+        let allowed = self.bound.ratio * self.requests.len() as f64 * USED_SHARE;
         (self.retries.len() + 1) as f64 <= allowed
     }
 
-    /// Takes one of the own share, false where none is left.
+    /// Spends a retry of this entry's ratio; returns `false` if none is left.
     pub fn take(&mut self, now: Tick) -> bool {
         let is_left = self.is_left(now);
         if is_left {
@@ -83,23 +84,23 @@
         is_left
     }
 
-    /// Returns true where an agent may give a second attempt.
+    /// Returns `true` if an agent may be asked for a grant.
     #[must_use]
     pub fn may_ask(&self, now: Tick) -> bool {
-        now >= self.slack_at
+        now >= self.ask_at
     }
 
-    /// Notes that no agent gives one until then.
+    /// Records that agents grant no retry until the given time.
     pub fn note_refused(&mut self, until: Tick) {
-        self.slack_at = until;
+        self.ask_at = until;
     }
 
-    /// Takes one where no agent answers: one in each window, so that a fleet without agents
-    /// makes any at all.
+    /// Spends a retry if no agent answers: one in each window, so that a fleet without agents
+    /// can retry at all. Returns `false` if none is left.
     pub fn take_alone(&mut self, now: Tick) -> bool {
-        let is_left = self.alone_at.is_none_or(|at| now.since(at) > self.bound.window);
+        let is_left = self.ungranted_at.is_none_or(|at| now.since(at) > self.bound.window);
         if is_left {
-            self.alone_at = Some(now);
+            self.ungranted_at = Some(now);
         }
         is_left
     }
--- a/src/relay/decide/target_notice.rs
+++ b/src/relay/decide/target_notice.rs
@@ -1,7 +1,7 @@
-//! What a target says of itself in its answers, beside what it answers.
+//! What a target states about itself in its answers, besides their content.
 //!
-//! It is kept by the target's life: a new life owes nothing of it, and one that the list has
-//! dropped and shows again is still bound by it.
+//! It is kept per instance of the target: it does not bind the next instance, but still binds
+//! one that the target list drops and shows again.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,50 +11,50 @@
 use crate::relay::discovery::store_revision::StoreRevision;
 use crate::time::Tick;
 
-/// Time for which it is remembered what a target said that is not listed any more: a target
-/// that leaves may serve on for many seconds, and its entry may come back meanwhile.
-const KEPT_SPAN: Duration = Duration::from_secs(60);
+/// Time for which the notices of a removed target are kept: a target that leaves may keep
+/// serving for many seconds, and its list entry may reappear meanwhile.
+const REMOVED_TTL: Duration = Duration::from_secs(60);
 
-/// Time after its removal for which a target is left alone that a store shows again which is
-/// back from a copy: what targets wrote since is written again, and a target that has ended
-/// is dropped after three heartbeats.
-const REWRITTEN_SPAN: Duration = Duration::from_secs(5);
+/// Time after its removal for which a target that reappears in a store restored from a copy is
+/// not used. Targets write their entries again meanwhile, and a target that has ended is
+/// dropped after three heartbeats.
+const REWRITE_WINDOW: Duration = Duration::from_secs(5);
 
-/// Most targets of which that is remembered.
-const MOST_KEPT: usize = 1_024;
+/// Maximum number of removed targets whose notices are kept.
+const MAX_REMOVED: usize = 1_024;
 
-/// What an answer says of the target that gave it.
+/// What an answer states about the target that gave it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TargetNotice {
-    /// True where the target is leaving: it takes nothing new from now on.
+    /// Whether the target is leaving: it accepts no new requests from now on.
     pub is_leaving: bool,
-    /// Time for which it wants nothing more from this process.
+    /// Time for which this process must not send it further requests.
     pub backoff: Option<Duration>,
-    /// The rate that it takes from all entries together.
+    /// The rate limit that it applies to all entries together.
     pub rate: RateWord,
-    /// For how long it is cold, zero where it says that it is warm.
+    /// Time for which it is cold, zero if it states that it is warm.
     pub warmup: Option<Duration>,
 }
 
 impl TargetNotice {
-    /// Returns true where it says nothing.
+    /// Returns `true` if the answer states nothing.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         *self == TargetNotice::default()
     }
 }
 
-/// What a target has said in all its answers.
+/// What a target has stated in all its answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct KeptNotice {
-    /// True where it is leaving.
+    /// Whether the target is leaving.
     pub is_leaving: bool,
-    /// When it wants requests again.
+    /// When the target accepts requests again.
     pub backoff_until: Tick,
 }
 
 impl KeptNotice {
-    /// Adds what one more answer says. Nothing is taken back: answers may overtake one
+    /// Merges the notice of one more answer. Nothing is withdrawn, as answers may overtake one
     /// another.
     pub fn take(&mut self, notice: &TargetNotice, now: Tick) {
         self.is_leaving |= notice.is_leaving;
@@ -64,61 +64,61 @@
     }
 }
 
-/// A target that is not listed any more.
+/// A target that is no longer listed.
 #[derive(Debug)]
-struct FormerTarget {
-    said: KeptNotice,
+struct RemovedTarget {
+    notice: KeptNotice,
     listed_at: StoreRevision,
     removed_at: Tick,
 }
 
-/// What targets said that are not listed any more.
+/// The notices of targets that are no longer listed.
 #[derive(Debug, Default)]
 pub struct NoticeMemory {
-    former: HashMap<TargetLife, FormerTarget>,
+    removed: HashMap<TargetLife, RemovedTarget>,
 }
 
 impl NoticeMemory {
-    /// Keeps what a target has said that is not listed any more.
-    pub fn keep(&mut self, record: &TargetRecord, said: KeptNotice, now: Tick) {
+    /// Stores the notice of a target that is no longer listed.
+    pub fn keep(&mut self, record: &TargetRecord, notice: KeptNotice, now: Tick) {
         self.expire(now);
-        if self.former.len() >= MOST_KEPT {
-            let oldest = self.former.iter().min_by_key(|(_, former)| former.removed_at);
-            if let Some(oldest) = oldest.map(|(life, _)| life.clone()) {
-                self.former.remove(&oldest);
+        if self.removed.len() >= MAX_REMOVED {
+            let oldest = self.removed.iter().min_by_key(|(_, removed)| removed.removed_at);
+            if let Some(oldest) = oldest.map(|(instance, _)| instance.clone()) {
+                self.removed.remove(&oldest);
             }
         }
         let listed_at = record.listed_at;
-        let former = FormerTarget { said, listed_at, removed_at: now };
-        self.former.insert(record.to_life(), former);
+        let removed = RemovedTarget { notice, listed_at, removed_at: now };
+        self.removed.insert(record.to_life(), removed);
     }
 
-    /// What a target has said before that is listed anew.
+    /// Removes and returns the stored notice of a target that is listed again.
     pub fn recall(&mut self, record: &TargetRecord, now: Tick) -> KeptNotice {
         self.expire(now);
-        let Some(former) = self.former.remove(&record.to_life()) else {
+        let Some(removed) = self.removed.remove(&record.to_life()) else {
             return KeptNotice::default();
         };
-        let mut said = former.said;
-        if record.listed_at.is_copy_of(former.listed_at) {
-            said.backoff_until = said.backoff_until.max(former.removed_at + REWRITTEN_SPAN);
+        let mut notice = removed.notice;
+        if record.listed_at.is_copy_of(removed.listed_at) {
+            notice.backoff_until = notice.backoff_until.max(removed.removed_at + REWRITE_WINDOW);
         }
-        said
+        notice
     }
 
-    /// How many targets are remembered.
+    /// Returns the number of stored notices.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.former.len()
+        self.removed.len()
     }
 
-    /// Returns true where none is.
+    /// Returns `true` if no notice is stored.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.former.is_empty()
+        self.removed.is_empty()
     }
 
     fn expire(&mut self, now: Tick) {
-        self.former.retain(|_, former| now.since(former.removed_at) < KEPT_SPAN);
+        self.removed.retain(|_, removed| now.since(removed.removed_at) < REMOVED_TTL);
     }
 }
--- a/src/relay/decide/warmup.rs
+++ b/src/relay/decide/warmup.rs
@@ -1,36 +1,36 @@
-//! How much a target is sent that has just come into use.
+//! Limits the requests sent to a target that is still warming up.
 //!
-//! The load that it answers: the targets of a failure domain come back together, cold,
-//! while callers press. Each is free, so that all entries turn to it at once, and it ends
-//! at a rate that a warm one bears. So a cold target takes a bounded rate from all entries
-//! together, by permits of its agent; the rest goes to warm ones or is refused.
+//! This guards against an overload on recovery: the targets of a failure domain return together
+//! and cold while callers press. All of them are idle, so all entries turn to them at once, and
+//! a target crashes at a rate that it can bear when warm. So all entries together send a cold
+//! target a limited rate, by permits of its agent; the rest goes to warm targets or is refused.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-use super::permit_desk::{LEAST_SPARE, SUM_PART};
+use super::permit_desk::{COMBINED_FACTOR, EXTRA_PERMITS};
 use super::rate_limit::RateLimit;
 use crate::time::Tick;
 
-/// Time within which requests count together against the bound.
-const COUNT_SPAN: Duration = Duration::from_secs(1);
+/// Window in which requests count together against the bound.
+const COUNT_WINDOW: Duration = Duration::from_secs(1);
 
-/// What a service declares of its targets while they are cold.
+/// What a service declares about its targets while they are cold.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WarmupRule {
-    /// How long a target is cold after its start.
+    /// Time after its start for which a target is cold.
     pub span: Duration,
-    /// Requests a second that it can take meanwhile.
+    /// Requests per second that it can handle meanwhile.
     pub per_second: f64,
 }
 
-/// What a cold target may get beyond what its service declares.
+/// Tolerance above the warm-up rate that a service declares.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WarmupBound {
     /// Factor to the declared rate.
     pub overrun: f64,
-    /// Requests in each second beside that.
+    /// Requests in each second beyond that.
     pub slack: f64,
 }
 
@@ -41,52 +41,54 @@
 }
 
 impl WarmupBound {
-    /// The rate of permits with which no second has more requests than the bound allows:
-    /// requests of a second have turns within that second and `turn_span`, the time in which
-    /// a turn is used.
+    /// Returns the rate of permits at which no second has more requests than the bound allows.
+    ///
+    /// Each request of a second uses a permit that is due within that second or `permit_ttl`,
+    /// the validity of a permit, before it.
     #[must_use]
-    pub fn to_rate(self, rule: WarmupRule, turn_span: Duration) -> RateLimit {
-        let most = rule.per_second * self.overrun + self.slack;
-        let span = (COUNT_SPAN + turn_span).as_secs_f64() * SUM_PART;
-        let rate = (most - LEAST_SPARE).max(0.0) / span;
+    pub fn to_rate(self, rule: WarmupRule, permit_ttl: Duration) -> RateLimit {
+        let max = rule.per_second * self.overrun + self.slack;
+        let window = (COUNT_WINDOW + permit_ttl).as_secs_f64() * COMBINED_FACTOR;
+        let rate = (max - EXTRA_PERMITS).max(0.0) / window;
         RateLimit::from_per_second(rate).unwrap_or_default()
     }
 }
 
-/// What a target takes while it is cold.
+/// The limit of a target while it is cold.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WarmupLimit {
-    /// How long it is cold where nothing else is known.
+    /// How long the target is cold if it states nothing else.
     pub span: Duration,
-    /// Requests a second from all entries together.
+    /// Requests per second from all entries together.
     pub rate: RateLimit,
 }
 
-/// Whether a target is cold, by the newest word of its life.
+/// Whether a target is cold, by the latest statement of its instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WarmupState {
-    /// When it is warm by its own word.
+    /// When the target is warm by its own statement.
     warm_at: Tick,
-    /// When it came into sight, or into use again, without a word since.
-    unsure_since: Option<Tick>,
+    /// When the target appeared or returned to service, if it has stated nothing since.
+    unknown_since: Option<Tick>,
 }
 
 impl WarmupState {
-    /// Notes its word that it is cold for so long, zero where it is warm.
+    /// Records the time for which the target states that it is cold, zero if it is warm.
     pub fn note_left(&mut self, left: Duration, now: Tick) {
         self.warm_at = now + left;
-        self.unsure_since = None;
+        self.unknown_since = None;
     }
 
-    /// Notes that it may have started, or turned cold, unseen.
+    /// Records that the target may have started, or turned cold, unobserved.
     pub fn note_unsure(&mut self, now: Tick) {
-        self.unsure_since = Some(now);
+        self.unknown_since = Some(now);
     }
 
-    /// Time until it is warm. It takes `span` where it has said nothing.
+    /// Returns the time until the target is warm. A target that has stated nothing is taken to
+    /// be cold for `duration`.
     #[must_use]
-    pub fn left(&self, span: Duration, now: Tick) -> Duration {
-        let unsure_until = self.unsure_since.map_or(Tick::default(), |since| since + span);
-        self.warm_at.max(unsure_until).since(now)
+    pub fn left(&self, duration: Duration, now: Tick) -> Duration {
+        let unknown_until = self.unknown_since.map_or(Tick::default(), |since| since + duration);
+        self.warm_at.max(unknown_until).since(now)
     }
 }
--- a/tests/relay/rates.rs
+++ b/tests/relay/rates.rs
@@ -1,5 +1,5 @@
-//! Rates that targets take from all entries together: what is known of them, and that the sum
-//! of what entries send keeps them, however many there are and whatever befalls them.
+//! Rate limits of targets: how they become known, and that the sum of what entries send keeps
+//! them, for any number of entries and under any faults.
 
 use std::time::Duration;
 
@@ -25,7 +25,7 @@
     RateLimit::from_per_second(per_second).unwrap()
 }
 
-fn life(name: &str) -> TargetLife {
+fn instance(name: &str) -> TargetLife {
     record(name, 1).to_life()
 }
 
@@ -40,22 +40,22 @@
     core
 }
 
-/// What one entry does at `now` with a request: whether it sends it, and when.
-fn try_send(core: &mut RelayCore, desk: Option<&mut PermitDesk>, now: Tick) -> Option<Tick> {
+/// When one entry sends a request that it gets at `now`; `None` if it does not.
+fn try_send(core: &mut RelayCore, issuer: Option<&mut PermitDesk>, now: Tick) -> Option<Tick> {
     let need = need(5_000);
     let placement = core.place("engines", Some(&need), TargetScope::Untried(&[]), now)?;
     let Some(query) = core.permit_query(&placement, Duration::ZERO, now) else {
         return Some(now);
     };
-    let reply = desk.map(|desk| desk.on_ask(&query.ask, now));
+    let reply = issuer.map(|issuer| issuer.on_ask(&query.ask, now));
     match core.take_permit(&query, reply, now) {
         PermitVerdict::Turn { from, .. } => Some(from),
         PermitVerdict::Elsewhere => None,
     }
 }
 
-/// Most sends in any span of four seconds.
-fn most_in_window(sends: &[Tick]) -> usize {
+/// Maximum number of sends in any window of four seconds.
+fn max_in_window(sends: &[Tick]) -> usize {
     let mut sends = sends.to_vec();
     sends.sort_unstable();
     let count =
@@ -67,26 +67,27 @@
     (per_second * 4.0 * 1.5 + 5.0) as usize
 }
 
-/// Entries at one target, its agent and two others that tell of its rate.
+/// Entries of one target, the agent that issues its permits and two others that announce its
+/// rate.
 struct RateWorld {
     entries: Vec<(RelayCore, RateTold)>,
-    giver: PermitDesk,
+    issuer: PermitDesk,
     others: [PermitDesk; 2],
     sends: Vec<Tick>,
 }
 
 impl RateWorld {
-    /// A fleet that is idle. One entry has met the rate.
+    /// Creates an idle fleet, of which one entry has received the rate.
     fn start(entries: u64, per_second: f64) -> Self {
         let cores = (0..entries).map(|entry| (core_of(entry, &["a"]), RateTold::default()));
         let mut world = RateWorld {
             entries: cores.collect(),
-            giver: PermitDesk::default(),
+            issuer: PermitDesk::default(),
             others: Default::default(),
             sends: Vec::new(),
         };
-        let named = RateWord::Named(rate(per_second));
-        world.entries[0].0.take_rate(&life("a"), named, Some(at(0)), at(10));
+        let notice = RateWord::Named(rate(per_second));
+        world.entries[0].0.take_rate(&instance("a"), notice, Some(at(0)), at(10));
         world.subscribe_all(at(20));
         world.subscribe_all(at(770));
         world
@@ -98,16 +99,16 @@
         }
     }
 
-    /// One entry tells the agents what it knows, and is told what they know.
+    /// Exchanges the known rates between one entry and the agents.
     fn subscribe(&mut self, entry: usize, now: Tick) {
-        let (core, told) = &mut self.entries[entry];
-        for (_, news) in core.to_giver_rates(now) {
-            self.giver.take_news(&[news], now);
+        let (core, announced) = &mut self.entries[entry];
+        for (_, update) in core.to_giver_rates(now) {
+            self.issuer.take_news(&[update], now);
         }
-        let news = core.to_rates(now);
-        for desk in self.others.iter_mut().chain([&mut self.giver]) {
-            desk.take_news(&news, now);
-            core.take_rates(&desk.to_news(told, now), now);
+        let updates = core.to_rates(now);
+        for issuer in self.others.iter_mut().chain([&mut self.issuer]) {
+            issuer.take_news(&updates, now);
+            core.take_rates(&issuer.to_news(announced, now), now);
         }
     }
 
@@ -116,17 +117,17 @@
         self.subscribe(entry, now);
     }
 
-    /// A request at one entry, which can not reach the agent where it is cut off.
-    fn ask(&mut self, entry: usize, is_cut: bool, now: Tick) {
-        let giver = (!is_cut).then_some(&mut self.giver);
-        self.sends.extend(try_send(&mut self.entries[entry].0, giver, now));
+    /// Makes a request at one entry, which cannot reach the agent if it is disconnected.
+    fn request(&mut self, entry: usize, is_disconnected: bool, now: Tick) {
+        let issuer = (!is_disconnected).then_some(&mut self.issuer);
+        self.sends.extend(try_send(&mut self.entries[entry].0, issuer, now));
     }
 }
 
-/// Entries wake together, again and again; some start anew, some can not reach the agent, and
-/// the agent itself starts again.
+/// Idle entries get requests at the same moment, again and again; some of them restart, some
+/// cannot reach the agent, and the agent itself restarts.
 #[test]
-fn any_number_of_idle_entries_that_wake_together_keeps_the_rate() {
+fn any_number_of_idle_entries_that_resume_together_keeps_the_rate() {
     const STEPS: u64 = 2_000;
     for (entries, per_second) in [(5, 2.0), (30, 1.7), (300, 0.5), (402, 4.0), (402, 0.0)] {
         let mut random = StdRng::seed_from_u64(7);
@@ -137,7 +138,7 @@
                 world.subscribe_all(now);
             }
             if step == 900 {
-                world.giver = PermitDesk::default();
+                world.issuer = PermitDesk::default();
             }
             let entry = random.random_range(0..world.entries.len());
             if step % 20 == 0 {
@@ -146,40 +147,41 @@
             let callers = if step % 100 == 0 { world.entries.len() } else { 1 };
             for caller in 0..callers {
                 let entry = (entry + caller) % world.entries.len();
-                world.ask(entry, entry % 7 == 3, now);
+                world.request(entry, entry % 7 == 3, now);
             }
         }
-        let most = most_in_window(&world.sends);
-        assert!(most <= allowed(per_second), "{entries} at {per_second}/s: {most} in 4 s");
-        let (sent, least) = (world.sends.len() as f64, per_second * 20.0 * 0.5);
-        assert!(sent >= least, "{entries} at {per_second}/s: only {sent} sent");
+        let max = max_in_window(&world.sends);
+        assert!(max <= allowed(per_second), "{entries} at {per_second}/s: {max} in 4 s");
+        let (sent, min) = (world.sends.len() as f64, per_second * 20.0 * 0.5);
+        assert!(sent >= min, "{entries} at {per_second}/s: only {sent} sent");
     }
 }
 
-/// Two agents may be asked, where one does not answer some of the entries.
+/// Some entries may ask the second agent because the first does not answer them.
 #[test]
 fn entries_that_ask_two_agents_keep_one_and_a_half_times_the_rate() {
     let (mut first, mut second) = (PermitDesk::default(), PermitDesk::default());
-    let news = RateNews { life: life("a"), rate: Some(rate(2.0)), age_ms: 0 };
+    let update = RateNews { life: instance("a"), rate: Some(rate(2.0)), age_ms: 0 };
     let mut sends = Vec::new();
     for step in 0..4_000 {
         let now = at(step * 5);
-        for (is_second, desk) in [(false, &mut first), (true, &mut second)] {
-            let ask = PermitAsk { news: news.clone(), warmup: None, most_wait_ms: 0, is_second };
-            if matches!(desk.on_ask(&ask, now), PermitReply::Granted { .. }) {
+        for (is_second, issuer) in [(false, &mut first), (true, &mut second)] {
+            let request =
+                PermitAsk { news: update.clone(), warmup: None, most_wait_ms: 0, is_second };
+            if matches!(issuer.on_ask(&request, now), PermitReply::Granted { .. }) {
                 sends.push(now);
             }
         }
     }
-    assert!(most_in_window(&sends) <= allowed(2.0));
+    assert!(max_in_window(&sends) <= allowed(2.0));
 }
 
-/// A permit is for its turn: a host that was frozen, or a connection that was slow, does not
-/// send it among later ones.
+/// A permit is valid for a short time only: after a frozen host or a slow connection, a request
+/// is not sent among those of later permits.
 #[test]
-fn a_turn_that_was_missed_is_not_used() {
+fn an_expired_permit_is_not_used() {
     let mut core = core_of(1, &["a"]);
-    core.take_rate(&life("a"), RateWord::Named(rate(2.0)), Some(at(0)), at(10));
+    core.take_rate(&instance("a"), RateWord::Named(rate(2.0)), Some(at(0)), at(10));
     let need = need(5_000);
     let mut placement =
         core.place("engines", Some(&need), TargetScope::Untried(&[]), at(20)).unwrap();
@@ -188,7 +190,7 @@
     let query = core.permit_query(&placement, ms(0), at(20)).unwrap();
     let reply = Some(PermitReply::Granted { after_ms: 100 });
     let PermitVerdict::Turn { from, until } = core.take_permit(&query, reply, at(30)) else {
-        panic!("no turn");
+        panic!("no permit");
     };
     assert_eq!(from, at(130));
     placement.turn_until = Some(until);
@@ -197,21 +199,21 @@
     assert!(!core.may_send(&share, at(900)));
 }
 
-/// A request that was placed before its target named a rate asks first.
+/// A request that was placed before its target stated a rate needs a permit.
 #[test]
-fn a_rate_that_is_learned_before_the_sending_binds_it() {
+fn a_rate_that_is_learned_before_the_send_applies() {
     let mut core = core_of(1, &["a"]);
     let need = need(5_000);
     let placement = core.place("engines", Some(&need), TargetScope::Untried(&[]), at(0)).unwrap();
     let share = core.begin(&placement, Some(&need), at(0));
-    core.take_rate(&life("a"), RateWord::Named(rate(2.0)), Some(at(0)), at(10));
+    core.take_rate(&instance("a"), RateWord::Named(rate(2.0)), Some(at(0)), at(10));
     assert!(!core.may_send(&share, at(20)));
 }
 
 #[test]
-fn a_target_that_takes_few_helps_with_no_prompt_and_is_the_last_choice() {
+fn a_rate_limited_target_is_no_helper_and_the_last_choice() {
     let mut core = core_of(1, &["a", "b", "c"]);
-    core.take_rate(&life("a"), RateWord::Named(rate(2.0)), Some(at(0)), at(10));
+    core.take_rate(&instance("a"), RateWord::Named(rate(2.0)), Some(at(0)), at(10));
     for prompt in [5_000, 40_000, 300_000] {
         let scope = TargetScope::Untried(&[]);
         let placement = core.place("engines", Some(&need(prompt)), scope, at(20)).unwrap();
@@ -221,9 +223,9 @@
 }
 
 #[test]
-fn where_there_is_no_turn_callers_are_told_when_there_may_be_one() {
+fn without_a_permit_callers_learn_when_one_may_be_available() {
     let mut core = core_of(1, &["a"]);
-    core.take_rate(&life("a"), RateWord::Named(rate(0.5)), Some(at(0)), at(10));
+    core.take_rate(&instance("a"), RateWord::Named(rate(0.5)), Some(at(0)), at(10));
     let need = need(5_000);
     let scope = TargetScope::Untried(&[]);
     let placement = core.place("engines", Some(&need), scope, at(20)).unwrap();
@@ -236,10 +238,10 @@
 }
 
 #[test]
-fn where_no_agent_answers_a_second_one_is_asked_and_then_nobody_sends() {
+fn a_second_agent_is_asked_and_without_its_answer_nothing_is_sent() {
     let mut core = core_of(1, &["a", "b"]);
-    core.take_rate(&life("a"), RateWord::Named(rate(2.0)), Some(at(0)), at(10));
-    core.take_rate(&life("b"), RateWord::Named(rate(2.0)), Some(at(0)), at(10));
+    core.take_rate(&instance("a"), RateWord::Named(rate(2.0)), Some(at(0)), at(10));
+    core.take_rate(&instance("b"), RateWord::Named(rate(2.0)), Some(at(0)), at(10));
     let need = need(5_000);
     let scope = TargetScope::Untried(&[]);
     let placement = core.place("engines", Some(&need), scope, at(20)).unwrap();
@@ -253,201 +255,201 @@
     assert_ne!(other.target, placement.target);
 }
 
-// What answers say of rates.
+// What answers state about rates.
 
-fn book_at(per_second: f64, now: Tick) -> RateBook {
-    let mut book = RateBook::default();
-    assert!(book.note_named(&life("a"), rate(per_second), now));
-    book
+fn table_at(per_second: f64, now: Tick) -> RateBook {
+    let mut table = RateBook::default();
+    assert!(table.note_named(&instance("a"), rate(per_second), now));
+    table
 }
 
-fn news(per_second: Option<f64>, age_ms: u32) -> RateNews {
-    RateNews { life: life("a"), rate: per_second.map(rate), age_ms }
+fn update(per_second: Option<f64>, age_ms: u32) -> RateNews {
+    RateNews { life: instance("a"), rate: per_second.map(rate), age_ms }
 }
 
 #[test]
-fn a_rate_that_changes_holds_as_it_was_named_last() {
-    let mut book = book_at(2.0, at(100));
-    assert!(book.note_named(&life("a"), rate(1.0), at(200)));
-    assert_eq!(book.rate_of(&life("a")), Some(rate(1.0)));
-    assert!(book.note_named(&life("a"), rate(8.0), at(300)));
-    assert_eq!(book.rate_of(&life("a")), Some(rate(8.0)));
+fn the_latest_stated_rate_applies() {
+    let mut table = table_at(2.0, at(100));
+    assert!(table.note_named(&instance("a"), rate(1.0), at(200)));
+    assert_eq!(table.rate_of(&instance("a")), Some(rate(1.0)));
+    assert!(table.note_named(&instance("a"), rate(8.0), at(300)));
+    assert_eq!(table.rate_of(&instance("a")), Some(rate(8.0)));
 }
 
 #[test]
-fn a_rate_that_is_named_twice_changes_nothing() {
-    let mut book = book_at(2.0, at(100));
-    assert!(!book.note_named(&life("a"), rate(2.0), at(110)));
-    assert_eq!(book.len(), 1);
+fn a_rate_that_is_stated_twice_changes_nothing() {
+    let mut table = table_at(2.0, at(100));
+    assert!(!table.note_named(&instance("a"), rate(2.0), at(110)));
+    assert_eq!(table.len(), 1);
 }
 
 #[test]
-fn a_rate_ends_with_an_answer_to_a_later_request_that_names_none() {
-    let mut book = book_at(2.0, at(100));
-    assert!(!book.note_silent(&life("a"), at(90)), "an old answer");
-    assert!(!book.note_silent(&life("a"), at(100)), "sent before the rate was known");
-    assert!(book.note_silent(&life("a"), at(101)));
-    assert_eq!(book.rate_of(&life("a")), None);
+fn a_rate_ends_with_an_answer_to_a_later_request_that_states_none() {
+    let mut table = table_at(2.0, at(100));
+    assert!(!table.note_silent(&instance("a"), at(90)), "an old answer");
+    assert!(!table.note_silent(&instance("a"), at(100)), "sent before the rate was known");
+    assert!(table.note_silent(&instance("a"), at(101)));
+    assert_eq!(table.rate_of(&instance("a")), None);
 }
 
 #[test]
-fn what_can_not_be_read_ends_no_rate() {
+fn an_invalid_rate_does_not_end_a_known_one() {
     let mut core = core_of(1, &["a"]);
-    core.take_rate(&life("a"), RateWord::Named(rate(2.0)), Some(at(0)), at(10));
-    core.take_rate(&life("a"), RateWord::Unreadable, Some(at(50)), at(60));
+    core.take_rate(&instance("a"), RateWord::Named(rate(2.0)), Some(at(0)), at(10));
+    core.take_rate(&instance("a"), RateWord::Unreadable, Some(at(50)), at(60));
     assert!(core.targets.get("a").unwrap().rate.is_some());
-    core.take_rate(&life("a"), RateWord::Silent, None, at(70));
-    assert!(core.targets.get("a").unwrap().rate.is_some(), "not surely its answer");
-    core.take_rate(&life("a"), RateWord::Silent, Some(at(80)), at(90));
+    core.take_rate(&instance("a"), RateWord::Silent, None, at(70));
+    assert!(core.targets.get("a").unwrap().rate.is_some(), "the answer may not be the target's own");
+    core.take_rate(&instance("a"), RateWord::Silent, Some(at(80)), at(90));
     assert!(core.targets.get("a").unwrap().rate.is_none());
 }
 
 #[test]
-fn a_rate_of_an_earlier_life_does_not_bind_a_later_one() {
+fn a_rate_of_a_former_instance_does_not_bind_the_next_one() {
     let mut core = core_of(1, &["a"]);
-    core.take_rate(&life("a"), RateWord::Named(rate(2.0)), Some(at(0)), at(10));
+    core.take_rate(&instance("a"), RateWord::Named(rate(2.0)), Some(at(0)), at(10));
     let mut restarted = record("a", 1);
     restarted.born_ms = 7;
     core.take_change(restarted, at(20));
     assert!(core.targets.get("a").unwrap().rate.is_none());
-    // Word of the earlier one may still come.
-    core.take_rate(&life("a"), RateWord::Named(rate(2.0)), Some(at(0)), at(30));
+    // An answer of the former instance may still arrive.
+    core.take_rate(&instance("a"), RateWord::Named(rate(2.0)), Some(at(0)), at(30));
     assert!(core.targets.get("a").unwrap().rate.is_none());
 }
 
 #[test]
-fn a_rate_that_was_told_before_the_target_is_listed_binds_it() {
+fn a_rate_that_is_announced_before_the_target_is_listed_binds_it() {
     let mut core = core_of(1, &["b"]);
-    core.take_rates(&[news(Some(2.0), 10)], at(10));
+    core.take_rates(&[update(Some(2.0), 10)], at(10));
     core.take_change(record("a", 2), at(20));
     assert!(core.targets.get("a").unwrap().rate.is_some());
 }
 
 #[test]
-fn a_rate_of_zero_gives_a_turn_from_time_to_time_and_a_huge_one_any() {
-    assert_eq!(rate(0.0).to_step(), Duration::from_secs(10));
-    assert_eq!(rate(1e-300).to_step(), Duration::from_secs(10));
-    assert_eq!(rate(1e300).to_step(), Duration::from_micros(1));
-    assert_eq!(rate(4.0).to_step(), ms(250));
+fn a_rate_of_zero_has_a_long_interval_and_a_huge_one_a_short_interval() {
+    assert_eq!(rate(0.0).to_interval(), Duration::from_secs(10));
+    assert_eq!(rate(1e-300).to_interval(), Duration::from_secs(10));
+    assert_eq!(rate(1e300).to_interval(), Duration::from_micros(1));
+    assert_eq!(rate(4.0).to_interval(), ms(250));
 }
 
 #[test]
-fn of_what_processes_tell_the_newest_holds() {
-    let mut book = book_at(2.0, at(1_000));
-    assert!(!book.take(&news(None, 500), at(1_400)), "older than what is known");
-    assert!(book.take(&news(None, 300), at(1_400)));
-    assert_eq!(book.rate_of(&life("a")), None);
-    assert!(!book.take(&news(Some(2.0), 400), at(1_400)));
-    assert!(book.take(&news(Some(2.0), 0), at(1_500)));
+fn the_newest_update_applies() {
+    let mut table = table_at(2.0, at(1_000));
+    assert!(!table.take(&update(None, 500), at(1_400)), "older than the known rate");
+    assert!(table.take(&update(None, 300), at(1_400)));
+    assert_eq!(table.rate_of(&instance("a")), None);
+    assert!(!table.take(&update(Some(2.0), 400), at(1_400)));
+    assert!(table.take(&update(Some(2.0), 0), at(1_500)));
 }
 
-/// Word that goes round grows younger by the time that it is under way.
+/// A forwarded update appears younger by its time in transit.
 #[test]
-fn the_same_word_that_comes_again_is_not_new() {
-    let mut book = book_at(2.0, at(1_000));
+fn a_repeated_update_is_not_new() {
+    let mut table = table_at(2.0, at(1_000));
     for step in 1..100 {
         let now = at(1_000 + step * 100);
         let age = now.since(at(1_000)).as_millis() as u32;
-        book.take(&news(Some(2.0), age - 20), now);
+        table.take(&update(Some(2.0), age - 20), now);
     }
-    let age = book.to_news_of(&life("a"), at(11_000)).unwrap().age_ms;
+    let age = table.to_news_of(&instance("a"), at(11_000)).unwrap().age_ms;
     assert_eq!(age, 10_000);
 }
 
 #[test]
-fn a_change_is_told_at_once_and_the_rest_from_time_to_time() {
-    let mut book = book_at(2.0, at(0));
-    let mut told = RateTold::default();
-    let mut notes = |book: &mut RateBook, count: u64| {
-        (0..count).filter(|step| !book.to_news(&mut told, at(*step)).is_empty()).count()
+fn a_change_is_announced_at_once_and_the_rest_from_time_to_time() {
+    let mut table = table_at(2.0, at(0));
+    let mut announced = RateTold::default();
+    let mut updates = |table: &mut RateBook, count: u64| {
+        (0..count).filter(|step| !table.to_news(&mut announced, at(*step)).is_empty()).count()
     };
-    assert_eq!(notes(&mut book, 24), 3 + 3);
-    book.note_named(&life("a"), rate(1.0), at(30));
-    assert_eq!(notes(&mut book, 3), 3);
+    assert_eq!(updates(&mut table, 24), 3 + 3);
+    table.note_named(&instance("a"), rate(1.0), at(30));
+    assert_eq!(updates(&mut table, 3), 3);
 }
 
 #[test]
-fn a_note_tells_of_a_few_and_the_next_of_others() {
-    let mut book = RateBook::default();
+fn a_message_announces_a_few_targets_and_the_next_others() {
+    let mut table = RateBook::default();
     for number in 0..10 {
-        book.note_named(&life(&format!("t{number}")), rate(2.0), at(0));
+        table.note_named(&instance(&format!("t{number}")), rate(2.0), at(0));
     }
-    let mut told = RateTold::default();
-    let mut lives = std::collections::BTreeSet::new();
+    let mut announced = RateTold::default();
+    let mut instances = std::collections::BTreeSet::new();
     for _ in 0..3 {
-        let news = book.to_news(&mut told, at(10));
-        assert!(news.len() <= 4);
-        lives.extend(news.into_iter().map(|news| news.life));
+        let updates = table.to_news(&mut announced, at(10));
+        assert!(updates.len() <= 4);
+        instances.extend(updates.into_iter().map(|update| update.life));
     }
-    assert_eq!(lives.len(), 10);
+    assert_eq!(instances.len(), 10);
 }
 
 #[test]
-fn rates_of_which_nothing_is_heard_are_forgotten_at_different_times() {
-    for (spread, kept) in [(0.0, 600), (0.5, 900)] {
-        let mut book = book_at(2.0, at(0));
-        assert!(!book.expire(spread, at(kept * 1_000 - 1)));
-        assert!(book.expire(spread, at(kept * 1_000)));
-        assert!(book.is_empty());
+fn rates_without_updates_expire_at_different_times() {
+    for (jitter, kept) in [(0.0, 600), (0.5, 900)] {
+        let mut table = table_at(2.0, at(0));
+        assert!(!table.expire(jitter, at(kept * 1_000 - 1)));
+        assert!(table.expire(jitter, at(kept * 1_000)));
+        assert!(table.is_empty());
     }
 }
 
 #[test]
-fn no_more_rates_are_kept_than_the_bound() {
-    let mut book = RateBook::default();
+fn the_number_of_known_rates_is_bounded() {
+    let mut table = RateBook::default();
     for number in 0..2_000 {
-        book.note_named(&life(&format!("t{number}")), rate(2.0), at(number));
+        table.note_named(&instance(&format!("t{number}")), rate(2.0), at(number));
     }
-    assert_eq!(book.len(), 1_024);
-    assert!(book.rate_of(&life("t1999")).is_some());
+    assert_eq!(table.len(), 1_024);
+    assert!(table.rate_of(&instance("t1999")).is_some());
 }
 
-/// An agent's looks at its engine are requests, too.
+/// An agent's polls of its engine are requests, too.
 #[test]
-fn an_agent_looks_less_often_at_an_engine_that_takes_few_requests() {
-    let looks = |is_scarce| {
+fn an_agent_polls_a_rate_limited_engine_less_often() {
+    let polls = |is_rate_limited| {
         let mut watch = EngineWatch::default();
-        watch.set_scarce(is_scarce);
+        watch.set_scarce(is_rate_limited);
         (0..80).filter(|step| watch.is_due(true, at(step * 100))).count()
     };
-    assert_eq!((looks(false), looks(true)), (20, 4));
+    assert_eq!((polls(false), polls(true)), (20, 4));
 }
 
 #[test]
-fn an_agent_knows_whether_its_own_engine_takes_few_requests() {
+fn an_agent_knows_whether_its_own_engine_is_rate_limited() {
     let mut set = SubscriberSet::default();
     let from = ([10, 1, 0, 1], 7_000).into();
-    let mut note = |note: &LoadNote| drop(set.on_note(note, from, 100, at(0)));
-    note(&LoadNote::Rates(vec![news(Some(2.0), 0)]));
+    let mut receive = |message: &LoadNote| drop(set.on_note(message, from, 100, at(0)));
+    receive(&LoadNote::Rates(vec![update(Some(2.0), 0)]));
     let load = short_load();
-    note(&LoadNote::Placed { target: name("b"), key: key(1), load });
-    assert!(!set.is_scarce(), "another target does");
-    let mut note = |note: &LoadNote| drop(set.on_note(note, from, 100, at(0)));
-    note(&LoadNote::Placed { target: name("a"), key: key(2), load });
+    receive(&LoadNote::Placed { target: name("b"), key: key(1), load });
+    assert!(!set.is_scarce(), "the rate is of another target");
+    let mut receive = |message: &LoadNote| drop(set.on_note(message, from, 100, at(0)));
+    receive(&LoadNote::Placed { target: name("a"), key: key(2), load });
     assert!(set.is_scarce());
 }
 
-/// Nobody gives up a target for one that may have no turn.
+/// No entry abandons an attempt for a target that may have no permit.
 #[test]
-fn a_target_that_takes_few_is_no_reason_to_end_an_attempt() {
+fn a_rate_limited_target_is_no_reason_to_end_an_attempt() {
     let mut core = core_of(1, &["a", "b"]);
     let service = name("engines");
     assert!(core.could_retry(&service, None, &[name("b")], at(0)));
-    core.take_rate(&life("a"), RateWord::Named(rate(2.0)), Some(at(0)), at(10));
+    core.take_rate(&instance("a"), RateWord::Named(rate(2.0)), Some(at(0)), at(10));
     assert!(!core.could_retry(&service, None, &[name("b")], at(20)));
 }
 
 #[test]
-fn an_agent_that_says_a_target_is_open_ends_what_was_known_when_it_was_asked() {
-    for (named_again, is_over) in [(None, true), (Some(at(150)), false)] {
+fn a_reply_that_a_target_is_not_limited_ends_the_rate_known_at_the_request() {
+    for (stated_again, is_over) in [(None, true), (Some(at(150)), false)] {
         let mut core = core_of(1, &["a"]);
-        core.take_rate(&life("a"), RateWord::Named(rate(2.0)), Some(at(0)), at(10));
+        core.take_rate(&instance("a"), RateWord::Named(rate(2.0)), Some(at(0)), at(10));
         let need = need(5_000);
         let placement =
             core.place("engines", Some(&need), TargetScope::Untried(&[]), at(100)).unwrap();
         let query = core.permit_query(&placement, ms(0), at(100)).unwrap();
-        if let Some(named_at) = named_again {
-            core.take_rate(&life("a"), RateWord::Named(rate(1.0)), Some(at(0)), named_at);
+        if let Some(stated_at) = stated_again {
+            core.take_rate(&instance("a"), RateWord::Named(rate(1.0)), Some(at(0)), stated_at);
         }
         let verdict = core.take_permit(&query, Some(PermitReply::Open), at(160));
         assert!(matches!(verdict, PermitVerdict::Turn { .. }));
@@ -455,21 +457,22 @@
     }
 }
 
-/// It may have been under way while the rate ended: taken, and ended by the next answer.
+/// An answer may have been in transit while the rate ended: its rate is accepted, and ended by
+/// the next answer.
 #[test]
-fn a_rate_in_an_old_answer_binds_until_the_next_one() {
-    let mut book = book_at(2.0, at(100));
-    assert!(book.note_silent(&life("a"), at(200)));
-    assert!(book.note_named(&life("a"), rate(2.0), at(300)));
-    assert!(book.note_silent(&life("a"), at(301)));
-    assert_eq!(book.rate_of(&life("a")), None);
+fn a_rate_in_an_old_answer_applies_until_the_next_one() {
+    let mut table = table_at(2.0, at(100));
+    assert!(table.note_silent(&instance("a"), at(200)));
+    assert!(table.note_named(&instance("a"), rate(2.0), at(300)));
+    assert!(table.note_silent(&instance("a"), at(301)));
+    assert_eq!(table.rate_of(&instance("a")), None);
 }
 
-/// A target that takes any number, and was tried, says nothing of when there is a turn.
+/// A target without a limit that was tried already does not hide the wait for a permit.
 #[test]
-fn a_second_attempt_waits_for_a_turn_where_only_a_scarce_target_is_left() {
+fn a_retry_waits_for_a_permit_if_only_a_rate_limited_target_is_left() {
     let mut core = core_of(1, &["a", "b"]);
-    core.take_rate(&life("a"), RateWord::Named(rate(2.0)), Some(at(0)), at(10));
+    core.take_rate(&instance("a"), RateWord::Named(rate(2.0)), Some(at(0)), at(10));
     let (need, tried) = (need(5_000), [name("b")]);
     let scope = TargetScope::Untried(&tried);
     let placement = core.place("engines", Some(&need), scope, at(20)).unwrap();
--- a/tests/relay/turns.rs
+++ b/tests/relay/turns.rs
@@ -1,4 +1,4 @@
-//! The turns that an agent gives at a target that takes a bounded rate.
+//! Permits that an agent issues for a rate-limited target.
 
 use shalelane::relay::decide::permit_desk::{PermitAsk, PermitDesk, PermitReply};
 use shalelane::relay::decide::rate_book::RateNews;
@@ -11,60 +11,60 @@
     RateLimit::from_per_second(per_second).unwrap()
 }
 
-fn life(name: &str) -> TargetLife {
+fn instance(name: &str) -> TargetLife {
     record(name, 1).to_life()
 }
 
-/// An agent that was idle keeps one turn, so that two at most are given at once.
+/// An agent that was idle carries over one permit, so it issues at most two at once.
 #[test]
-fn after_an_idle_time_two_turns_are_given_at_once() {
-    let mut desk = PermitDesk::default();
-    let news = RateNews { life: life("a"), rate: Some(rate(2.0)), age_ms: 0 };
-    let ask = PermitAsk { news, warmup: None, most_wait_ms: 0, is_second: false };
-    desk.on_ask(&ask, at(0));
-    let replies = (0..20).map(|_| desk.on_ask(&ask, at(60_000)));
+fn after_an_idle_time_two_permits_are_issued_at_once() {
+    let mut issuer = PermitDesk::default();
+    let update = RateNews { life: instance("a"), rate: Some(rate(2.0)), age_ms: 0 };
+    let request = PermitAsk { news: update, warmup: None, most_wait_ms: 0, is_second: false };
+    issuer.on_ask(&request, at(0));
+    let replies = (0..20).map(|_| issuer.on_ask(&request, at(60_000)));
     let granted = replies.filter(|reply| matches!(reply, PermitReply::Granted { .. })).count();
     assert_eq!(granted, 2);
 }
 
-/// The second agent alone gives half of the rate.
+/// The second agent alone issues permits at half of the rate.
 #[test]
-fn the_second_agent_gives_half_of_the_rate() {
-    let mut desk = PermitDesk::default();
-    let news = RateNews { life: life("a"), rate: Some(rate(2.0)), age_ms: 0 };
-    let ask = PermitAsk { news, warmup: None, most_wait_ms: 0, is_second: true };
-    let replies = (0..4_000).map(|step| desk.on_ask(&ask, at(step * 5)));
+fn the_second_agent_issues_half_of_the_rate() {
+    let mut issuer = PermitDesk::default();
+    let update = RateNews { life: instance("a"), rate: Some(rate(2.0)), age_ms: 0 };
+    let request = PermitAsk { news: update, warmup: None, most_wait_ms: 0, is_second: true };
+    let replies = (0..4_000).map(|step| issuer.on_ask(&request, at(step * 5)));
     let granted = replies.filter(|reply| matches!(reply, PermitReply::Granted { .. })).count();
-    assert!((18..=21).contains(&granted), "{granted} turns in 20 s at half of 2/s");
+    assert!((18..=21).contains(&granted), "{granted} permits in 20 s at half of 2/s");
 }
 
 #[test]
-fn each_entry_that_is_refused_is_told_of_another_turn() {
-    let mut desk = PermitDesk::default();
-    let news = RateNews { life: life("a"), rate: Some(rate(2.0)), age_ms: 0 };
-    let ask = PermitAsk { news, warmup: None, most_wait_ms: 0, is_second: false };
-    let replies: Vec<_> = (0..4).map(|_| desk.on_ask(&ask, at(0))).collect();
+fn each_refused_entry_is_given_a_different_wait() {
+    let mut issuer = PermitDesk::default();
+    let update = RateNews { life: instance("a"), rate: Some(rate(2.0)), age_ms: 0 };
+    let request = PermitAsk { news: update, warmup: None, most_wait_ms: 0, is_second: false };
+    let replies: Vec<_> = (0..4).map(|_| issuer.on_ask(&request, at(0))).collect();
     let wait = |wait_ms| PermitReply::Refused { wait_ms };
     assert_eq!(replies, [wait(500), wait(1_000), wait(1_500), wait(2_000)]);
-    assert_eq!(desk.on_ask(&ask, at(500)), PermitReply::Granted { after_ms: 0 });
+    assert_eq!(issuer.on_ask(&request, at(500)), PermitReply::Granted { after_ms: 0 });
 }
 
 #[test]
-fn who_would_wait_gets_the_turns_that_come() {
-    let mut desk = PermitDesk::default();
-    let news = RateNews { life: life("a"), rate: Some(rate(2.0)), age_ms: 0 };
-    let ask = PermitAsk { news, warmup: None, most_wait_ms: 1_200, is_second: false };
-    let replies: Vec<_> = (0..3).map(|_| desk.on_ask(&ask, at(0))).collect();
+fn an_entry_that_would_wait_gets_the_next_permits() {
+    let mut issuer = PermitDesk::default();
+    let update = RateNews { life: instance("a"), rate: Some(rate(2.0)), age_ms: 0 };
+    let request = PermitAsk { news: update, warmup: None, most_wait_ms: 1_200, is_second: false };
+    let replies: Vec<_> = (0..3).map(|_| issuer.on_ask(&request, at(0))).collect();
     let granted = |after_ms| PermitReply::Granted { after_ms };
     assert_eq!(replies, [granted(500), granted(1_000), PermitReply::Refused { wait_ms: 1_500 }]);
 }
 
 #[test]
-fn an_order_without_a_permit_takes_a_turn() {
-    let mut desk = PermitDesk::default();
-    let news = RateNews { life: life("a"), rate: Some(rate(2.0)), age_ms: 0 };
-    desk.take_news(std::slice::from_ref(&news), at(0));
-    desk.note_spent(&life("a"), at(0));
-    let ask = PermitAsk { news, warmup: None, most_wait_ms: 0, is_second: false };
-    assert_eq!(desk.on_ask(&ask, at(500)), PermitReply::Refused { wait_ms: 500 });
+fn an_order_without_a_permit_uses_one() {
+    let mut issuer = PermitDesk::default();
+    let update = RateNews { life: instance("a"), rate: Some(rate(2.0)), age_ms: 0 };
+    issuer.take_news(std::slice::from_ref(&update), at(0));
+    issuer.note_spent(&instance("a"), at(0));
+    let request = PermitAsk { news: update, warmup: None, most_wait_ms: 0, is_second: false };
+    assert_eq!(issuer.on_ask(&request, at(500)), PermitReply::Refused { wait_ms: 500 });
 }
