--- a/tests/relay/evacuations.rs
+++ b/tests/relay/evacuations.rs
@@ -1,4 +1,4 @@
-//! Failure domains that are taken out of service: what that binds, and how it is proven.
+//! Evacuated failure domains: what an evacuation prevents, and how it is proven.
 
 use shalelane::relay::core::{RelayCore, RelayLimits};
 use shalelane::relay::decide::evacuation::EvacuationSet;
@@ -23,7 +23,7 @@
     TargetRecord { failure_domain: name(domain), ..record(target, number) }
 }
 
-/// An entry that knows one engine here and two in another failure domain.
+/// An entry that knows one engine in its own failure domain and two in another one.
 fn core(entry: u64) -> RelayCore {
     let limits = RelayLimits { evacuate_bound: Some(ms(4_000)), ..limits(StalePolicy::FailClosed) };
     let mut core = RelayCore::new(limits, entry);
@@ -43,22 +43,25 @@
 }
 
 #[test]
-fn nothing_is_sent_to_a_domain_that_is_out_of_service() {
+fn nothing_is_sent_to_an_evacuated_domain() {
     let mut core = core(1);
     assert!(core.take_evacuations(evacuation(&["there"]), at(10), at(20)));
     for prompt in [5_000, 40_000, 300_000] {
         let placement = place(&mut core, prompt, at(30)).expect("one engine is left");
         assert_eq!(&*placement.target, "a", "{prompt} tokens");
-        assert!(placement.helpers.is_empty(), "{prompt} tokens have helpers out of service");
+        assert!(
+            placement.helpers.is_empty(),
+            "{prompt} tokens have helpers in the evacuated domain"
+        );
     }
     let tried = [name("a")];
-    let second = core.place("engines", Some(&need(5_000)), TargetScope::Untried(&tried), at(40));
-    assert!(second.is_none(), "a second attempt went out of service");
+    let retry = core.place("engines", Some(&need(5_000)), TargetScope::Untried(&tried), at(40));
+    assert!(retry.is_none(), "a retry went to the evacuated domain");
 }
 
-/// What was placed before an entry heard of it is not sent after.
+/// A request that was placed before the entry learned of the evacuation is not sent after.
 #[test]
-fn what_was_placed_there_is_not_sent_any_more() {
+fn a_request_placed_before_the_evacuation_is_not_sent() {
     let mut core = core(1);
     let tried = [name("a")];
     let scope = TargetScope::Untried(&tried);
@@ -70,7 +73,7 @@
 }
 
 #[test]
-fn a_joint_prompt_whose_helper_is_out_of_service_is_not_sent() {
+fn a_sharded_prefill_with_an_evacuated_helper_is_not_sent() {
     let mut core = core(1);
     let mut placement = place(&mut core, 5_000, at(10)).unwrap();
     placement.target = name("a");
@@ -81,7 +84,7 @@
 }
 
 #[test]
-fn targets_that_are_listed_later_are_bound_as_well() {
+fn targets_that_are_listed_later_are_evacuated_as_well() {
     let mut core = core(1);
     core.take_evacuations(evacuation(&["there"]), at(10), at(20));
     core.take_change(in_domain("d", 4, "there"), at(30));
@@ -92,7 +95,7 @@
 }
 
 #[test]
-fn with_all_domains_out_of_service_callers_are_told_when_to_come_back() {
+fn with_all_domains_evacuated_callers_get_a_retry_time() {
     let mut core = core(1);
     core.take_evacuations(evacuation(&["here", "there"]), at(10), at(20));
     assert!(place(&mut core, 5_000, at(30)).is_none());
@@ -100,7 +103,7 @@
 }
 
 #[test]
-fn it_ends_as_soon_as_a_proof_says_so() {
+fn an_evacuation_ends_with_the_first_proof_without_it() {
     let mut core = core(1);
     core.take_evacuations(evacuation(&["here", "there"]), at(10), at(20));
     assert!(core.take_evacuations(evacuation(&["there"]), at(100), at(110)));
@@ -108,15 +111,15 @@
 }
 
 #[test]
-fn an_older_proof_does_not_end_it() {
+fn an_older_proof_does_not_end_an_evacuation() {
     let mut core = core(1);
     core.take_evacuations(evacuation(&["there"]), at(100), at(110));
     assert!(!core.take_evacuations(evacuation(&[]), at(90), at(120)));
     assert_eq!(core.evacuated().count(), 1);
 }
 
-/// No entry serves by older knowledge than the bound allows, whatever has become of its way to
-/// the store and to other entries.
+/// No entry serves with older knowledge than the bound allows, even if it cannot reach the store
+/// or other entries.
 #[test]
 fn the_lease_is_no_longer_than_the_bound() {
     let core = core(1);
@@ -124,10 +127,10 @@
     assert!(!core.lease().permits_keys(at(4_000)));
 }
 
-/// Asks `other` for its proof at `now`, and gives the answer to `core`.
+/// Requests the proof of `other` at `now`, and applies the answer to `core`.
 fn share_proof(core: &mut RelayCore, other: &RelayCore, now: Tick) -> PeerVerdict {
     let proof_age_ms = other.lease().age(now).map(|age| age.as_millis() as u32);
-    let welcome = LoadNote::Welcome {
+    let ack = LoadNote::Welcome {
         target: name("t"),
         entries: 2,
         pace_percent: 100,
@@ -137,9 +140,9 @@
         list_mark: None,
         config_mark: None,
     };
-    core.take_note(welcome, now);
+    core.take_note(ack, now);
     let Some((_, LoadNote::AskProof { nonce })) = core.ask_proof(now) else {
-        panic!("no question");
+        panic!("no proof request");
     };
     let answer = other.tell_proof(nonce, now).expect("a proof");
     assert!(answer.to_bytes().unwrap().len() <= MAX_NOTE);
@@ -154,37 +157,38 @@
 }
 
 #[test]
-fn another_entrys_proof_says_which_domains_are_out_of_service() {
-    let (mut reader, mut listener) = (core(1), core(2));
+fn the_proof_of_another_entry_carries_its_evacuations() {
+    let (mut reader, mut receiver) = (core(1), core(2));
     reader.take_evacuations(evacuation(&["there"]), at(2_000), at(2_010));
     reader.take_config(None, at(2_000));
-    let verdict = share_proof(&mut listener, &reader, at(2_500));
+    let verdict = share_proof(&mut receiver, &reader, at(2_500));
     assert!(matches!(verdict, PeerVerdict::ProvenAt(_)));
-    assert_eq!(listener.evacuated().collect::<Vec<_>>(), [&name("there")]);
-    assert!(!listener.targets.get("b").unwrap().is_usable(at(2_510)));
+    assert_eq!(receiver.evacuated().collect::<Vec<_>>(), [&name("there")]);
+    assert!(!receiver.targets.get("b").unwrap().is_usable(at(2_510)));
 }
 
-/// The proof of a later configuration holds together with that, which comes by another way.
+/// The proof of a later configuration applies once that configuration arrives, which is sent
+/// separately.
 #[test]
-fn the_proof_of_a_later_configuration_says_so_too() {
-    let (mut reader, mut listener) = (core(1), core(2));
+fn the_proof_of_a_later_configuration_carries_evacuations_too() {
+    let (mut reader, mut receiver) = (core(1), core(2));
     reader.take_evacuations(evacuation(&["there"]), at(2_000), at(2_010));
     reader.take_config(Some(RelayConfig { version: 2, ..RelayConfig::default() }), at(2_000));
     reader.set_config_revision(revision(5));
-    assert_eq!(share_proof(&mut listener, &reader, at(2_500)), PeerVerdict::Behind);
-    assert_eq!(listener.evacuated().count(), 0, "it proves nothing of the configuration here");
-    listener.take_copy(&reader.config_copy().unwrap(), at(2_520));
-    assert_eq!(listener.evacuated().count(), 1);
+    assert_eq!(share_proof(&mut receiver, &reader, at(2_500)), PeerVerdict::Behind);
+    assert_eq!(receiver.evacuated().count(), 0, "it does not prove the configuration known here");
+    receiver.take_copy(&reader.config_copy().unwrap(), at(2_520));
+    assert_eq!(receiver.evacuated().count(), 1);
 }
 
-/// A store that is back from a copy may have lost what was written since.
+/// A store that was restored from a copy may have lost later writes.
 #[test]
-fn a_store_that_came_back_from_a_copy_ends_nothing_at_once() {
+fn a_restored_store_does_not_end_an_evacuation_at_once() {
     let mut set = EvacuationSet::default();
     set.take([name("there")], 0, at(1_000), at(1_010));
-    assert!(!set.take([], 1, at(2_000), at(2_010)), "what is missing is written again");
-    assert!(set.take([name("here")], 1, at(3_000), at(3_010)), "what is there holds");
+    assert!(!set.take([], 1, at(2_000), at(2_010)), "a missing domain may be written again");
+    assert!(set.take([name("here")], 1, at(3_000), at(3_010)), "a listed domain applies");
     assert_eq!(set.domains().len(), 2);
     assert!(set.take([], 1, at(7_100), at(7_110)));
-    assert!(!set.take([name("there")], 0, at(7_200), at(7_210)), "word of the last epoch");
+    assert!(!set.take([name("there")], 0, at(7_200), at(7_210)), "knowledge of the last epoch");
 }
--- a/tests/relay/notices.rs
+++ b/tests/relay/notices.rs
@@ -1,4 +1,4 @@
-//! What targets say of themselves in their answers.
+//! What targets state about themselves in their answers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,18 +23,18 @@
     TargetNotice { backoff: Some(ms(millis)), ..TargetNotice::default() }
 }
 
-fn life(name: &str) -> TargetLife {
+fn instance(name: &str) -> TargetLife {
     record(name, 1).to_life()
 }
 
 /// An entry that knows engines of one service.
 fn core_of(names: &[&str]) -> RelayCore {
-    core_at_most(names, 0)
+    core_with_max(names, 0)
 }
 
-fn core_at_most(names: &[&str], most_engines: usize) -> RelayCore {
+fn core_with_max(names: &[&str], max_engines: usize) -> RelayCore {
     let mut limits = limits(StalePolicy::FailClosed);
-    limits.policy.most_engines = most_engines;
+    limits.policy.most_engines = max_engines;
     let mut core = RelayCore::new(limits, 1);
     let service = ServiceRule { name: name("engines"), engine: Some(rates()), warmup: None };
     let config = RelayConfig { version: 1, services: vec![service], ..RelayConfig::default() };
@@ -57,62 +57,63 @@
 }
 
 #[test]
-fn what_rests_is_placed_at_again_when_its_time_is_over() {
+fn a_target_that_backs_off_is_used_again_after_the_time() {
     let mut core = core_of(&["a"]);
-    core.take_notice(&life("a"), &backoff(3_000), at(100));
+    core.take_notice(&instance("a"), &backoff(3_000), at(100));
     assert!(place(&mut core, 5_000, at(3_099)).is_none());
     assert!(place(&mut core, 5_000, at(3_100)).is_some());
 }
 
 #[test]
-fn a_shorter_wish_takes_nothing_back() {
+fn a_shorter_back_off_does_not_replace_a_longer_one() {
     let mut core = core_of(&["a"]);
-    core.take_notice(&life("a"), &backoff(3_000), at(100));
-    core.take_notice(&life("a"), &backoff(500), at(200));
-    core.take_notice(&life("a"), &TargetNotice::default(), at(300));
+    core.take_notice(&instance("a"), &backoff(3_000), at(100));
+    core.take_notice(&instance("a"), &backoff(500), at(200));
+    core.take_notice(&instance("a"), &TargetNotice::default(), at(300));
     core.note_success("a");
     assert_eq!(core.time_to_target("engines", at(400)), Some(ms(2_700)));
 }
 
 #[test]
-fn a_target_that_was_tried_already_is_left_alone_too() {
+fn a_target_that_was_tried_already_also_backs_off() {
     let mut core = core_of(&["a", "b"]);
-    core.take_notice(&life("a"), &backoff(3_000), at(100));
+    core.take_notice(&instance("a"), &backoff(3_000), at(100));
     let only = [name("a")];
     let scope = TargetScope::Only(&only);
     assert!(core.place("engines", Some(&need(5_000)), scope, at(200)).is_none());
 }
 
-/// A long prompt is read by many engines; those that leave or rest are no helpers either.
+/// A long prompt is prefilled by many engines; those that leave or back off are no helpers
+/// either.
 #[test]
-fn what_leaves_or_rests_helps_nobody() {
+fn a_target_that_leaves_or_backs_off_is_no_helper() {
     let names = ["a", "b", "c", "d", "e", "f"];
     let mut core = core_of(&names);
     assert!(place(&mut core, 200_000, at(0)).unwrap().helpers.len() > 2);
-    core.take_notice(&life("a"), &LEAVING, at(10));
-    core.take_notice(&life("b"), &backoff(60_000), at(10));
-    core.take_notice(&life("c"), &LEAVING, at(10));
+    core.take_notice(&instance("a"), &LEAVING, at(10));
+    core.take_notice(&instance("b"), &backoff(60_000), at(10));
+    core.take_notice(&instance("c"), &LEAVING, at(10));
     let placement = place(&mut core, 200_000, at(20)).unwrap();
     let all: Vec<&Arc<str>> = placement.helpers.iter().chain([&placement.target]).collect();
-    for gone in ["a", "b", "c"] {
-        assert!(!all.contains(&&name(gone)), "{gone} in {all:?}");
+    for excluded in ["a", "b", "c"] {
+        assert!(!all.contains(&&name(excluded)), "{excluded} in {all:?}");
     }
 }
 
-/// Between its placement and its sending, a request may wait for memory and a connection.
+/// Between its placement and its send, a request may wait for memory and a connection.
 #[test]
-fn what_was_placed_before_is_not_sent_after() {
+fn a_notice_after_the_placement_prevents_the_send() {
     let mut core = core_of(&["a", "b"]);
     let share = begin(&mut core, at(0));
     assert!(core.may_send(&share, at(10)));
     core.take_notice(share.life.as_ref().unwrap(), &backoff(3_000), at(20));
     assert!(!core.may_send(&share, at(30)));
     let helped = AttemptShare { helpers: vec![share.target.clone()], ..begin(&mut core, at(30)) };
-    assert!(!core.may_send(&helped, at(30)), "a helper rests");
+    assert!(!core.may_send(&helped, at(30)), "a helper backs off");
 }
 
 #[test]
-fn what_a_former_life_says_does_not_bind_the_next_one() {
+fn a_notice_of_a_former_instance_does_not_bind_the_next_one() {
     let mut core = core_of(&["a"]);
     let former = core.life_of("a").unwrap();
     core.take_notice(&former, &LEAVING, at(10));
@@ -123,13 +124,13 @@
     assert!(place(&mut core, 5_000, at(50)).is_some(), "a late answer");
 }
 
-/// An entry that knows by an answer that a target leaves hears the same of the list later. It
-/// has to tell others, who may have had no such answer, or they would take the target to be
-/// ready up to a mark by which it is not.
+/// An entry that learns by an answer that a target leaves finds the same in the list later. It
+/// must then send the change to other entries, which may have had no such answer: else they would
+/// treat the target as ready at a list revision at which it is not.
 #[test]
-fn what_is_known_by_answers_is_told_when_the_list_says_it() {
+fn a_change_known_by_an_answer_is_sent_when_the_list_shows_it() {
     for learn in [
-        |core: &mut RelayCore| core.take_notice(&life("a"), &LEAVING, at(10)),
+        |core: &mut RelayCore| core.take_notice(&instance("a"), &LEAVING, at(10)),
         |core: &mut RelayCore| {
             core.note_failure("a", TargetFault::Replaced, at(10));
         },
@@ -140,16 +141,16 @@
         listed[0].is_leaving = true;
         let list =
             TargetList { records: listed, changed_at: revision(9), ..TargetList::new(revision(9)) };
-        let (change, news) = core.take_reread(list, false, at(0), at(20));
+        let (change, update) = core.take_reread(list, false, at(0), at(20));
         assert_eq!(change.leaving, [name("a")]);
-        assert_eq!(news.unwrap().changes.len(), 1);
+        assert_eq!(update.unwrap().changes.len(), 1);
     }
 }
 
 #[test]
-fn a_list_that_shows_it_as_ready_does_not_bring_it_back() {
+fn a_list_that_shows_a_leaving_target_as_ready_does_not_restore_it() {
     let mut core = core_of(&["a"]);
-    core.take_notice(&life("a"), &LEAVING, at(10));
+    core.take_notice(&instance("a"), &LEAVING, at(10));
     core.take_list(records(&["a"]), false, at(20));
     core.take_change(record("a", 1), at(30));
     assert!(place(&mut core, 5_000, at(40)).is_none());
@@ -159,20 +160,19 @@
 }
 
 #[test]
-fn a_target_that_said_it_leaves_has_not_ended_unexpectedly() {
+fn a_target_that_announced_its_shutdown_has_not_crashed() {
     let mut core = core_of(&["a", "b"]);
-    core.take_notice(&life("a"), &LEAVING, at(10));
+    core.take_notice(&instance("a"), &LEAVING, at(10));
     let change = core.take_list(records(&["b"]), false, at(20));
     assert_eq!((change.removed.len(), change.ended.len()), (1, 0));
 }
 
-/// Of a large fleet, another engine takes the place of one that rests, and its own place is
-/// free again after that.
+/// In a large fleet, another engine replaces one that backs off, until the back-off is over.
 #[test]
-fn an_engine_that_rests_gives_its_place_to_another() {
+fn an_engine_that_backs_off_is_replaced_by_another() {
     let names: Vec<String> = (0..10).map(|number| format!("e{number}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
-    let mut core = core_at_most(&names, 4);
+    let mut core = core_with_max(&names, 4);
     let used = |core: &RelayCore| {
         let used = core.targets.iter().filter(|target| target.is_used);
         used.map(|target| target.record.incarnation.clone()).collect::<Vec<_>>()
@@ -186,34 +186,38 @@
 }
 
 #[test]
-fn the_time_to_come_back_is_that_of_the_first_target() {
+fn the_retry_time_is_that_of_the_first_usable_target() {
     let mut core = core_of(&["a", "b", "c"]);
     assert_eq!(core.time_to_target("engines", at(0)), None);
-    core.take_notice(&life("a"), &backoff(9_000), at(0));
-    core.take_notice(&life("b"), &backoff(400), at(0));
-    assert_eq!(core.time_to_target("engines", at(0)), None, "c takes requests");
-    core.take_notice(&life("c"), &LEAVING, at(0));
+    core.take_notice(&instance("a"), &backoff(9_000), at(0));
+    core.take_notice(&instance("b"), &backoff(400), at(0));
+    assert_eq!(core.time_to_target("engines", at(0)), None, "c accepts requests");
+    core.take_notice(&instance("c"), &LEAVING, at(0));
     assert_eq!(core.time_to_target("engines", at(0)), Some(ms(400)));
-    core.take_notice(&life("b"), &LEAVING, at(0));
-    assert_eq!(core.time_to_target("engines", at(0)), Some(ms(1_000)), "one may be replaced");
+    core.take_notice(&instance("b"), &LEAVING, at(0));
+    assert_eq!(
+        core.time_to_target("engines", at(0)),
+        Some(ms(1_000)),
+        "a leaving target may be replaced"
+    );
     assert_eq!(until_usable(&core.targets, "nobody", at(0)), None);
 }
 
-/// What is remembered of targets that are not listed any more is bounded in number and time.
+/// The notices of targets that are no longer listed are bounded in number and time.
 #[test]
-fn the_memory_of_former_targets_is_bounded() {
-    const MOST: usize = 1_024;
+fn the_notices_of_removed_targets_are_bounded() {
+    const MAX: usize = 1_024;
     let mut memory = NoticeMemory::default();
     let leaving = KeptNotice { is_leaving: true, backoff_until: Tick::default() };
     let nth = |number: usize| record(&format!("t{number}"), 1);
-    for number in 0..2 * MOST {
+    for number in 0..2 * MAX {
         memory.keep(&nth(number), leaving, at(number as u64));
     }
-    assert_eq!(memory.len(), MOST);
+    assert_eq!(memory.len(), MAX);
     assert_eq!(memory.recall(&nth(0), at(3_000)), KeptNotice::default());
-    assert_eq!(memory.recall(&nth(2 * MOST - 1), at(3_000)), leaving);
-    assert_eq!(memory.recall(&nth(2 * MOST - 1), at(3_000)), KeptNotice::default(), "once");
+    assert_eq!(memory.recall(&nth(2 * MAX - 1), at(3_000)), leaving);
+    assert_eq!(memory.recall(&nth(2 * MAX - 1), at(3_000)), KeptNotice::default(), "once");
     let later = at(3_000) + Duration::from_secs(60);
-    assert_eq!(memory.recall(&nth(2 * MOST - 2), later), KeptNotice::default());
+    assert_eq!(memory.recall(&nth(2 * MAX - 2), later), KeptNotice::default());
     assert!(memory.is_empty());
 }
--- a/tests/relay/rates.rs
+++ b/tests/relay/rates.rs
@@ -299,7 +299,10 @@
     core.take_rate(&instance("a"), RateWord::Unreadable, Some(at(50)), at(60));
     assert!(core.targets.get("a").unwrap().rate.is_some());
     core.take_rate(&instance("a"), RateWord::Silent, None, at(70));
-    assert!(core.targets.get("a").unwrap().rate.is_some(), "the answer may not be the target's own");
+    assert!(
+        core.targets.get("a").unwrap().rate.is_some(),
+        "the answer may not be the target's own"
+    );
     core.take_rate(&instance("a"), RateWord::Silent, Some(at(80)), at(90));
     assert!(core.targets.get("a").unwrap().rate.is_none());
 }
--- a/tests/relay/warmups.rs
+++ b/tests/relay/warmups.rs
@@ -1,5 +1,5 @@
-//! Targets that are cold: how that is known, and that the sum of what entries send keeps the
-//! bound, however many there are.
+//! Cold targets: how entries learn that a target is cold, and that the sum of what they send
+//! keeps the bound for any number of entries.
 
 use std::time::Duration;
 
@@ -25,10 +25,10 @@
 const RULE: WarmupRule = WarmupRule { span: Duration::from_secs(3), per_second: 32.0 };
 const BOUND: WarmupBound = WarmupBound { overrun: 1.5, slack: 5.0 };
 
-/// Requests in any second that the bound allows.
+/// Maximum number of requests in any second by the bound.
 const ALLOWED: usize = 53;
 
-/// An entry of a service whose targets are warmed up, before it knows any.
+/// An entry of a service whose targets need a warm-up, before it knows any target.
 fn new_core(entry: u64) -> RelayCore {
     let limits = RelayLimits { warmup_bound: BOUND, ..limits(StalePolicy::FailClosed) };
     let mut core = RelayCore::new(limits, entry);
@@ -38,7 +38,7 @@
     core
 }
 
-/// An entry that has seen the target `a`, warm, for long.
+/// An entry that has known the target `a` as warm for long.
 fn core_of_one(entry: u64) -> RelayCore {
     let mut core = new_core(entry);
     core.take_list(vec![record("a", 1)], false, at(0));
@@ -54,14 +54,14 @@
 }
 
 #[test]
-fn the_newest_word_of_a_life_says_whether_it_is_cold() {
+fn the_latest_statement_of_an_instance_says_whether_it_is_cold() {
     let mut core = core_of_one(1);
-    assert!(!is_cold(&core, at(100)), "it was there before");
+    assert!(!is_cold(&core, at(100)), "it was listed before");
     core.take_change(listed(Some(2_000), 1), at(100));
     assert!(is_cold(&core, at(2_050)));
     assert!(!is_cold(&core, at(2_100)));
     core.take_change(listed(Some(2_000), 1), at(3_000));
-    assert!(!is_cold(&core, at(3_001)), "the same entry of the list again");
+    assert!(!is_cold(&core, at(3_001)), "the same list entry again");
     core.take_change(listed(Some(1_500), 1), at(4_000));
     assert!(is_cold(&core, at(5_000)), "it turned cold again");
     core.take_change(listed(Some(0), 1), at(5_000));
@@ -69,49 +69,49 @@
 }
 
 #[test]
-fn answers_say_so_as_well() {
+fn answers_state_whether_a_target_is_cold() {
     let mut core = core_of_one(1);
-    let life = record("a", 1).to_life();
+    let instance = record("a", 1).to_life();
     let cold = TargetNotice { warmup: Some(ms(700)), ..TargetNotice::default() };
-    core.take_notice(&life, &cold, at(100));
+    core.take_notice(&instance, &cold, at(100));
     assert!(is_cold(&core, at(750)));
     let placement = core.place("engines", Some(&need(5_000)), TargetScope::Untried(&[]), at(200));
     let placement = placement.unwrap();
-    assert!(core.permit_query(&placement, ms(0), at(200)).is_some(), "it is sent without a turn");
+    assert!(core.permit_query(&placement, ms(0), at(200)).is_some(), "it is sent without a permit");
     let warm = TargetNotice { warmup: Some(ms(0)), ..TargetNotice::default() };
-    core.take_notice(&life, &warm, at(300));
+    core.take_notice(&instance, &warm, at(300));
     assert!(core.permit_query(&placement, ms(0), at(300)).is_none());
 }
 
-/// A target that was out of sight counts as cold until it says otherwise.
+/// A target that was not listed for a while counts as cold until it states otherwise.
 #[test]
-fn what_was_out_of_sight_counts_as_cold() {
+fn a_target_that_reappears_counts_as_cold() {
     let mut core = core_of_one(1);
     core.take_change(listed(None, 5), at(1_000));
-    assert!(is_cold(&core, at(3_900)), "it started again under its name");
+    assert!(is_cold(&core, at(3_900)), "it restarted under its name");
     assert!(!is_cold(&core, at(4_000)));
     core.targets.take_removal("a", Some(at(5_000)), at(5_000));
     core.take_change(listed(None, 5), at(5_500));
-    assert!(is_cold(&core, at(8_400)), "it was missing in the list");
+    assert!(is_cold(&core, at(8_400)), "it was missing from the list");
     assert!(!is_cold(&core, at(8_500)));
 }
 
 #[test]
-fn what_comes_back_into_service_counts_as_cold() {
+fn a_target_that_returns_to_service_counts_as_cold() {
     let mut core = core_of_one(1);
-    let out = |domains: &[&str]| EvacuationList {
+    let evacuation = |domains: &[&str]| EvacuationList {
         domains: domains.iter().map(|domain| name(domain)).collect(),
         epoch: 0,
     };
-    core.take_evacuations(out(&["here"]), at(100), at(110));
-    core.take_evacuations(out(&[]), at(5_000), at(5_100));
+    core.take_evacuations(evacuation(&["here"]), at(100), at(110));
+    core.take_evacuations(evacuation(&[]), at(5_000), at(5_100));
     assert!(is_cold(&core, at(8_000)));
     assert!(!is_cold(&core, at(8_100)));
 }
 
-/// A request that was placed at a warm target and is sent when that has turned cold.
+/// A request is placed at a warm target, which turns cold before the request is sent.
 #[test]
-fn a_request_without_a_turn_is_not_sent_to_a_target_that_turned_cold() {
+fn a_request_without_a_permit_is_not_sent_to_a_target_that_turned_cold() {
     let mut core = core_of_one(1);
     let need = need(5_000);
     let placement = core.place("engines", Some(&need), TargetScope::Untried(&[]), at(10)).unwrap();
@@ -121,47 +121,48 @@
 }
 
 #[test]
-fn a_rate_that_is_named_and_one_for_the_warm_up_bind_together() {
+fn the_lower_of_a_stated_rate_and_the_warm_up_rate_applies() {
     let mut core = core_of_one(1);
     core.take_change(listed(Some(2_000), 0), at(10));
-    let named = RateLimit::from_per_second(2.0);
-    core.take_rate(&record("a", 1).to_life(), RateWord::Named(named.unwrap()), None, at(20));
-    assert_eq!(core.targets.get("a").unwrap().rate, named);
+    let stated = RateLimit::from_per_second(2.0);
+    core.take_rate(&record("a", 1).to_life(), RateWord::Named(stated.unwrap()), None, at(20));
+    assert_eq!(core.targets.get("a").unwrap().rate, stated);
 }
 
-/// An agent that one entry has told of a cold target keeps all entries to it.
+/// An agent that learned from one entry that a target is cold applies the limit to all entries.
 #[test]
-fn an_agent_binds_entries_that_do_not_know() {
-    let mut desk = PermitDesk::default();
-    let life = record("a", 1).to_life();
-    let news = RateNews { life, rate: RateLimit::from_per_second(1_000.0), age_ms: 0 };
+fn an_agent_limits_entries_that_do_not_know_that_the_target_is_cold() {
+    let mut issuer = PermitDesk::default();
+    let instance = record("a", 1).to_life();
+    let update = RateNews { life: instance, rate: RateLimit::from_per_second(1_000.0), age_ms: 0 };
     let warmup = WarmupNews { rate: RateLimit::from_per_second(2.0).unwrap(), left_ms: 3_000 };
-    let ask = |warmup| PermitAsk { news: news.clone(), warmup, most_wait_ms: 0, is_second: false };
-    desk.on_ask(&ask(Some(warmup)), at(0));
+    let request =
+        |warmup| PermitAsk { news: update.clone(), warmup, most_wait_ms: 0, is_second: false };
+    issuer.on_ask(&request(Some(warmup)), at(0));
     let mut granted = 0;
     for millis in 0..2_900 {
-        let reply = desk.on_ask(&ask(None), at(millis));
+        let reply = issuer.on_ask(&request(None), at(millis));
         granted += usize::from(matches!(reply, PermitReply::Granted { .. }));
     }
-    assert!(granted <= 7, "{granted} turns in 2.9 s at 2/s");
-    assert!(matches!(desk.on_ask(&ask(None), at(4_000)), PermitReply::Granted { .. }));
+    assert!(granted <= 7, "{granted} permits in 2.9 s at 2/s");
+    assert!(matches!(issuer.on_ask(&request(None), at(4_000)), PermitReply::Granted { .. }));
 }
 
 #[test]
-fn a_question_with_a_warm_up_fits_a_datagram() {
+fn a_permit_request_for_a_cold_target_fits_into_a_datagram() {
     let mut core = core_of_one(1);
     core.take_change(listed(Some(2_000), 0), at(10));
     let placement =
         core.place("engines", Some(&need(5_000)), TargetScope::Untried(&[]), at(20)).unwrap();
     let ask = core.permit_query(&placement, ms(0), at(20)).unwrap().ask;
     assert_eq!(ask.warmup.unwrap().left_ms, 1_990);
-    let note = LoadNote::AskPermit { nonce: 7, ask };
-    let bytes = note.to_bytes().unwrap();
+    let message = LoadNote::AskPermit { nonce: 7, ask };
+    let bytes = message.to_bytes().unwrap();
     assert!(bytes.len() <= 400, "{} bytes", bytes.len());
-    assert_eq!(LoadNote::from_bytes(&bytes).unwrap(), note);
+    assert_eq!(LoadNote::from_bytes(&bytes).unwrap(), message);
 }
 
-fn most_in_a_second(sends: &[Tick]) -> usize {
+fn max_in_a_second(sends: &[Tick]) -> usize {
     let mut sends = sends.to_vec();
     sends.sort_unstable();
     let count =
@@ -169,9 +170,9 @@
     sends.iter().map(count).max().unwrap_or(0)
 }
 
-/// A whole failure domain comes back cold while callers press: each entry tries all the time,
-/// a third of them can not reach the first agent, both agents are started again, and each send
-/// uses its turn at some time within its span.
+/// A whole failure domain returns cold under load: each entry tries all the time, a third of them
+/// cannot reach the first agent, both agents restart, and each send uses its permit at a random
+/// time within its validity.
 #[test]
 fn any_number_of_entries_keeps_the_bound_of_a_cold_target() {
     const SEED: u64 = 20_261_203;
@@ -193,56 +194,57 @@
                 second = PermitDesk::default();
             }
             let entry = random.random_range(0..cores.len());
-            let is_cut = entry % 3 == 0;
+            let is_disconnected = entry % 3 == 0;
             let core = &mut cores[entry];
             let scope = TargetScope::Untried(&[]);
             let Some(placement) = core.place("engines", Some(&need(5_000)), scope, now) else {
                 continue;
             };
             let query = core.permit_query(&placement, ms(0), now).expect("it is cold");
-            let desk = match (query.ask.is_second, is_cut) {
+            let issuer = match (query.ask.is_second, is_disconnected) {
                 (false, true) => None,
                 (false, false) => Some(&mut first),
                 (true, _) => Some(&mut second),
             };
-            let reply = desk.map(|desk| desk.on_ask(&query.ask, now));
+            let reply = issuer.map(|issuer| issuer.on_ask(&query.ask, now));
             if let PermitVerdict::Turn { from, until } = core.take_permit(&query, reply, now) {
-                let late = until.since(from).as_millis() as u64;
-                sends.push(from + ms(random.random_range(0..=late)));
+                let validity = until.since(from).as_millis() as u64;
+                sends.push(from + ms(random.random_range(0..=validity)));
             }
         }
-        let most = most_in_a_second(&sends);
-        assert!(most <= ALLOWED, "{entries} entries: {most} in a second");
-        let least = if entries > 100 { 30 } else { 5 };
-        assert!(sends.len() >= least, "{entries} entries sent only {}", sends.len());
+        let max = max_in_a_second(&sends);
+        assert!(max <= ALLOWED, "{entries} entries: {max} in a second");
+        let min = if entries > 100 { 30 } else { 5 };
+        assert!(sends.len() >= min, "{entries} entries sent only {}", sends.len());
     }
 }
 
-/// With any declared rate and bound.
+/// Both agents together keep the bound for different declared rates and bounds.
 #[test]
 fn both_agents_together_keep_any_bound() {
     for (per_second, overrun, slack) in [(32.0, 1.5, 5.0), (2.0, 1.2, 5.0), (400.0, 1.0, 0.0)] {
         let rule = WarmupRule { per_second, ..RULE };
         let rate = WarmupBound { overrun, slack }.to_rate(rule, ms(300));
-        let mut desks = [PermitDesk::default(), PermitDesk::default()];
-        let life = record("a", 1).to_life();
+        let mut issuers = [PermitDesk::default(), PermitDesk::default()];
+        let instance = record("a", 1).to_life();
         let mut sends = Vec::new();
         let mut random = StdRng::seed_from_u64(7);
         for millis in 0..8_000 {
-            for (desk, is_second) in desks.iter_mut().zip([false, true]) {
-                let news = RateNews { life: life.clone(), rate: None, age_ms: u32::MAX };
+            for (issuer, is_second) in issuers.iter_mut().zip([false, true]) {
+                let update = RateNews { life: instance.clone(), rate: None, age_ms: u32::MAX };
                 let warmup = Some(WarmupNews { rate, left_ms: 3_000 });
-                let ask = PermitAsk { news, warmup, most_wait_ms: 0, is_second };
-                // An idle time first, so that each agent has kept what it keeps.
+                let request = PermitAsk { news: update, warmup, most_wait_ms: 0, is_second };
+                // An idle time comes first, so that each agent carries over an unused permit.
                 let is_idle = millis < 4_000 && millis > 10;
-                if !is_idle && matches!(desk.on_ask(&ask, at(millis)), PermitReply::Granted { .. })
+                if !is_idle
+                    && matches!(issuer.on_ask(&request, at(millis)), PermitReply::Granted { .. })
                 {
                     sends.push(at(millis) + ms(random.random_range(0..=300)));
                 }
             }
         }
-        let most = per_second * overrun + slack;
-        let seen = most_in_a_second(&sends);
-        assert!(seen as f64 <= most, "{per_second}/s: {seen} in a second, {most} allowed");
+        let allowed = per_second * overrun + slack;
+        let max = max_in_a_second(&sends);
+        assert!(max as f64 <= allowed, "{per_second}/s: {max} in a second, {allowed} allowed");
     }
 }
