--- a/src/relay/decide/retry_budget.rs
+++ b/src/relay/decide/retry_budget.rs
@@ -77,11 +77,11 @@
 
     /// Spends a retry of this entry's ratio; returns `false` if none is left.
     pub fn take(&mut self, now: Tick) -> bool {
-        let is_left = self.is_left(now);
-        if is_left {
+        let has_retry = self.is_left(now);
+        if has_retry {
             self.retries.push_back(now);
         }
-        is_left
+        has_retry
     }
 
     /// Returns `true` if an agent may be asked for a grant.
@@ -98,11 +98,11 @@
     /// Spends a retry if no agent answers: one in each window, so that a fleet without agents
     /// can retry at all. Returns `false` if none is left.
     pub fn take_alone(&mut self, now: Tick) -> bool {
-        let is_left = self.ungranted_at.is_none_or(|at| now.since(at) > self.bound.window);
-        if is_left {
+        let has_retry = self.ungranted_at.is_none_or(|at| now.since(at) > self.bound.window);
+        if has_retry {
             self.ungranted_at = Some(now);
         }
-        is_left
+        has_retry
     }
 
     fn expire(&mut self, now: Tick) {
--- a/tests/relay/warmups.rs
+++ b/tests/relay/warmups.rs
@@ -133,8 +133,8 @@
 #[test]
 fn an_agent_limits_entries_that_do_not_know_that_the_target_is_cold() {
     let mut issuer = PermitDesk::default();
-    let instance = record("a", 1).to_life();
-    let update = RateNews { life: instance, rate: RateLimit::from_per_second(1_000.0), age_ms: 0 };
+    let target = record("a", 1).to_life();
+    let update = RateNews { life: target, rate: RateLimit::from_per_second(1_000.0), age_ms: 0 };
     let warmup = WarmupNews { rate: RateLimit::from_per_second(2.0).unwrap(), left_ms: 3_000 };
     let request =
         |warmup| PermitAsk { news: update.clone(), warmup, most_wait_ms: 0, is_second: false };
