--- a/src/relay/decide/hold_list.rs
+++ b/src/relay/decide/hold_list.rs
@@ -22,7 +22,7 @@
 const MAX_QUARANTINED: usize = 64;
 
 /// Minimum delay after which a process that learned of a quarantine from a peer writes it to
-/// the store, in case that the process which detected it has not.
+/// the store, in case the process that detected it has not.
 const PEER_WRITE_DELAY: Duration = Duration::from_secs(1);
 
 /// Time over which the writes of processes that learned of a quarantine are spread.
--- a/src/relay/decide/warmup.rs
+++ b/src/relay/decide/warmup.rs
@@ -1,7 +1,7 @@
 //! Limits the requests sent to a target that is still warming up.
 //!
 //! This guards against an overload on recovery: the targets of a failure domain return together
-//! and cold while callers press. All of them are idle, so all entries turn to them at once, and
+//! and cold while callers press. All of them are idle, so all entries select them at once, and
 //! a target crashes at a rate that it can bear when warm. So all entries together send a cold
 //! target a limited rate, by permits of its agent; the rest goes to warm targets or is refused.
 
--- a/tests/relay/crashes.rs
+++ b/tests/relay/crashes.rs
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn refusals_for_lack_of_memory_are_bounded() {
+fn refusals_for_lack_of_capacity_are_bounded() {
     let mut count = SendCount::default();
     for _ in 0..5 {
         assert!(count.permits(MOST_RUNS));
