--- a/src/relay/core/attempts.rs
+++ b/src/relay/core/attempts.rs
@@ -1,4 +1,4 @@
-//! What the core decides of attempts, and notes of how they went.
+//! Placement of attempts, and records of how they went.
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
@@ -19,18 +19,18 @@
 use crate::time::Tick;
 
 impl RelayCore {
-    /// Counts a caller's request against the budget of second attempts.
+    /// Counts a caller's request towards the retry budget of its service.
     pub fn note_request(&mut self, service: &Arc<str>, now: Tick) {
         self.budget(service).note_request(now);
     }
 
-    /// Takes a second attempt of this entry's own share, false where none is left.
+    /// Takes a retry from this entry's own_load budget, `false` if none is left.
     pub fn take_retry(&mut self, service: &Arc<str>, now: Tick) -> bool {
         self.budget(service).take(now)
     }
 
-    /// Returns true where a second attempt could be made now at a target that was not tried,
-    /// and that has a turn for sure.
+    /// Returns `true` if a retry is possible now at a target that has not been tried. Rate-limited
+    /// targets do not count, since they may grant no permit.
     pub fn could_retry(
         &mut self,
         service: &Arc<str>,
@@ -38,11 +38,11 @@
         tried: &[Arc<str>],
         now: Tick,
     ) -> bool {
-        let is_new = |name| !tried.contains(name);
+        let is_untried = |name| !tried.contains(name);
         let scope = ServiceScope { service, domains };
         let has_other = scope.targets(&self.targets).any(|target| {
-            let is_open = target.is_usable(now) && target.rate.is_none();
-            target.is_used && is_open && is_new(&target.record.incarnation)
+            let is_unlimited = target.is_usable(now) && target.rate.is_none();
+            target.is_used && is_unlimited && is_untried(&target.record.incarnation)
         });
         let budget = self.budget(service);
         has_other && (budget.is_left(now) || budget.may_ask(now))
@@ -53,7 +53,7 @@
         self.budgets.entry(service.clone()).or_insert_with(|| RetryBudget::new(bound))
     }
 
-    /// Chooses where a request goes, none where no target can take it.
+    /// Chooses the targets of a request, `None` if no target can take it.
     pub fn place<'a>(
         &mut self,
         service: impl Into<ServiceScope<'a>>,
@@ -61,11 +61,11 @@
         scope: TargetScope<'_>,
         now: Tick,
     ) -> Option<Placement> {
-        self.place_at(service.into(), need, scope, TurnPolicy::AtOnce, now)
+        self.place_with_policy(service.into(), need, scope, TurnPolicy::AtOnce, now)
     }
 
-    /// Chooses where a request goes that would wait for its turn, none where no target can
-    /// take it.
+    /// Chooses the targets of a request that can wait for a permit of a rate-limited target,
+    /// `None` if no target can take it.
     pub fn place_for_turn<'a>(
         &mut self,
         service: impl Into<ServiceScope<'a>>,
@@ -73,10 +73,10 @@
         scope: TargetScope<'_>,
         now: Tick,
     ) -> Option<Placement> {
-        self.place_at(service.into(), need, scope, TurnPolicy::Waits, now)
+        self.place_with_policy(service.into(), need, scope, TurnPolicy::Waits, now)
     }
 
-    fn place_at(
+    fn place_with_policy(
         &mut self,
         service: ServiceScope<'_>,
         need: Option<&PromptNeed>,
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Notes that a request is being sent as it was placed.
+    /// Records that a request is being sent as it was placed.
     pub fn begin(
         &mut self,
         placement: &Placement,
@@ -131,19 +131,19 @@
         key: StreamKey,
         now: Tick,
     ) {
-        let Some(rates) = self.targets.get(&placement.target).and_then(|t| t.model.as_ref()) else {
+        let Some(model) = self.targets.get(&placement.target).and_then(|t| t.model.as_ref()) else {
             return;
         };
-        let parts = placement.helpers.len() + 1;
-        let read = rates.rates().read_time(need.prompt);
+        let shards = placement.helpers.len() + 1;
+        let prefill = model.rates().read_time(need.prompt);
         let holders = placement.seats.len() + 1;
         let start_us = placement.first.as_micros() as u64;
-        let passes = rates.rates().passes(need.answer);
-        let own = StreamLoad { start_us, ..need.to_load(read, parts, holders, passes) };
-        let part = StreamLoad { start_us, ..need.to_helper_load(read, parts) };
-        self.add_load(&placement.target, key, own, now);
-        for (at, helper) in placement.helpers.iter().enumerate() {
-            let load = if at < placement.seats.len() { own } else { part };
+        let passes = model.rates().passes(need.answer);
+        let own_load = StreamLoad { start_us, ..need.to_load(prefill, shards, holders, passes) };
+        let shard_load = StreamLoad { start_us, ..need.to_helper_load(prefill, shards) };
+        self.add_load(&placement.target, key, own_load, now);
+        for (index, helper) in placement.helpers.iter().enumerate() {
+            let load = if index < placement.seats.len() { own_load } else { shard_load };
             self.add_load(helper, key, load, now);
         }
     }
@@ -152,77 +152,77 @@
         let target = self.targets.get_mut(name);
         if let Some(model) = target.and_then(|target| target.model.as_mut()) {
             model.add(key, load, now);
-            self.notes.push(LoadNote::Placed { target: name.clone(), key, load });
+            self.outbox.push(LoadNote::Placed { target: name.clone(), key, load });
         }
     }
 
-    /// Notes that an attempt has ended, however it did.
-    pub fn end(&mut self, share: &AttemptShare) {
-        let is_same = self.life_of(&share.target) == share.life;
-        if let Some(target) = self.targets.get_mut(&share.target).filter(|_| is_same) {
+    /// Records that an attempt has ended, whatever its outcome, and releases what it occupied.
+    pub fn end(&mut self, attempt: &AttemptShare) {
+        let is_same = self.life_of(&attempt.target) == attempt.life;
+        if let Some(target) = self.targets.get_mut(&attempt.target).filter(|_| is_same) {
             target.note_ended();
         }
-        if let Some(life) = share.life.as_ref().filter(|_| share.is_suspect) {
-            self.quarantine.note_over(life);
+        if let Some(instance) = attempt.life.as_ref().filter(|_| attempt.is_suspect) {
+            self.quarantine.note_over(instance);
         }
-        for name in std::iter::once(&share.target).chain(&share.helpers) {
+        for name in std::iter::once(&attempt.target).chain(&attempt.helpers) {
             let target = self.targets.get_mut(name);
             if let Some(model) = target.and_then(|target| target.model.as_mut()) {
-                model.remove(share.key);
-                self.notes.push(LoadNote::Ended { target: name.clone(), key: share.key });
+                model.remove(attempt.key);
+                self.outbox.push(LoadNote::Ended { target: name.clone(), key: attempt.key });
             }
         }
     }
 
-    /// Notes bytes of an answer.
+    /// Records that bytes of an answer were received.
     pub fn note_heard(&mut self, target: &str, now: Tick) {
         if let Some(target) = self.targets.get_mut(target) {
             target.note_heard(now);
         }
     }
 
-    /// Time until the prompt of an attempt should be read, as far as it is known
-    /// what else its engines have to read.
-    pub fn time_to_read(&mut self, share: &AttemptShare, now: Tick) -> Duration {
+    /// Predicts the time until the prompt of an attempt is prefilled, from the known prefill work
+    /// of its engines.
+    pub fn time_to_read(&mut self, attempt: &AttemptShare, now: Tick) -> Duration {
         let mut longest = Duration::ZERO;
-        for name in std::iter::once(&share.target).chain(&share.helpers) {
+        for name in std::iter::once(&attempt.target).chain(&attempt.helpers) {
             if let Some(model) = self.model(name) {
                 model.advance(now);
-                longest = longest.max(model.time_to_read(share.key, now));
+                longest = longest.max(model.time_to_read(attempt.key, now));
             }
         }
         longest
     }
 
-    /// Time until the pass that an engine has under way should end.
+    /// Predicts the time until the current forward pass of an engine ends.
     pub fn time_to_pass_end(&mut self, target: &str, now: Tick) -> Duration {
         self.model(target).map_or(Duration::ZERO, |model| model.time_to_pass_end(now))
     }
 
-    /// Notes the first event of a stream: its prompt has been read.
-    pub fn note_first(&mut self, share: &AttemptShare, now: Tick) {
-        for name in std::iter::once(&share.target).chain(&share.helpers) {
+    /// Records the first event of a stream: its prompt is prefilled.
+    pub fn note_first(&mut self, attempt: &AttemptShare, now: Tick) {
+        for name in std::iter::once(&attempt.target).chain(&attempt.helpers) {
             if let Some(model) = self.model(name) {
-                model.note_first(share.key, now);
+                model.note_first(attempt.key, now);
             }
         }
     }
 
-    /// Notes an event that its engine sent at the end of a pass.
+    /// Records an event that its engine sent at the end of a forward pass.
     pub fn note_pass(&mut self, target: &str, now: Tick) {
         if let Some(model) = self.model(target) {
             model.note_pass(now);
         }
     }
 
-    /// Notes a request that its target served.
+    /// Records a request that its target served.
     pub fn note_success(&mut self, target: &str) {
         if let Some(target) = self.targets.get_mut(target) {
             target.note_success();
         }
     }
 
-    /// Notes a failure of a target. Returns for how long it is left alone.
+    /// Records a failure of a target. Returns the duration of its ejection, if it is ejected.
     pub fn note_failure(
         &mut self,
         target: &str,
@@ -232,38 +232,38 @@
         self.targets.get_mut(target)?.note_failure(fault, now)
     }
 
-    /// Takes what an answer says of the life of a target that gave it, but for its rate
+    /// Applies what an answer says of the target instance that gave it, except for its rate
     /// ([`RelayCore::take_rate`]).
-    pub fn take_notice(&mut self, life: &TargetLife, notice: &TargetNotice, now: Tick) {
-        let target = self.targets.get_mut(&life.incarnation);
-        let target = target.filter(|target| target.record.to_life() == *life);
+    pub fn take_notice(&mut self, instance: &TargetLife, notice: &TargetNotice, now: Tick) {
+        let target = self.targets.get_mut(&instance.incarnation);
+        let target = target.filter(|target| target.record.to_life() == *instance);
         if target.is_some_and(|target| target.take_notice(notice, now)) {
-            // Of a large fleet, another one takes its place.
+            // In a large fleet another engine takes its place.
             self.choose_engines(now);
         } else if notice.warmup.is_some() {
             self.mark_rates(now);
         }
     }
 
-    /// Returns true where an attempt may still be sent as it was placed: its targets may have
-    /// asked for nothing more since.
+    /// Returns `true` if an attempt may still be sent as it was placed. Its targets may have asked
+    /// for back-off since.
     #[must_use]
-    pub fn may_send(&self, share: &AttemptShare, now: Tick) -> bool {
-        if self.life_of(&share.target) != share.life {
+    pub fn may_send(&self, attempt: &AttemptShare, now: Tick) -> bool {
+        if self.life_of(&attempt.target) != attempt.life {
             return false;
         }
-        let Some(target) = self.targets.get(&share.target) else { return false };
-        let is_in_turn = match share.turn_until {
+        let Some(target) = self.targets.get(&attempt.target) else { return false };
+        let has_permit = match attempt.turn_until {
             Some(until) => now <= until,
             None => target.rate.is_none(),
         };
-        let is_willing =
+        let is_accepting =
             |name: &Arc<str>| self.targets.get(name).is_some_and(|target| target.is_willing(now));
-        is_in_turn && is_willing(&share.target) && share.helpers.iter().all(is_willing)
+        has_permit && is_accepting(&attempt.target) && attempt.helpers.iter().all(is_accepting)
     }
 
-    /// Time until a target of a service may be sent requests again, none where one may be now
-    /// or none is known.
+    /// Returns the time until a target of a service may be sent requests again, `None` if one
+    /// may be now or if no target is known.
     #[must_use]
     pub fn time_to_target<'a>(
         &self,
@@ -273,19 +273,19 @@
         until_usable(&self.targets, service, now)
     }
 
-    /// Notes that a helper was the cause of a refusal of `target`. Returns
-    /// true where it was one: it is left alone for a while then.
+    /// Records that a helper was the cause of a refusal of `target`, which counts as a failure of
+    /// the helper. Returns `true` if a target with this address is known.
     pub fn note_helper_failure(&mut self, target: &str, helper: SocketAddr, now: Tick) -> bool {
         let mut targets = self.targets.iter_mut();
         let found = targets
             .find(|other| other.record.address == helper && &*other.record.incarnation != target);
         let Some(found) = found else { return false };
-        // How long it is left alone is logged where it fails itself.
+        // Its ejection is logged when a request to the helper itself fails.
         let _ = found.note_failure(TargetFault::Broken, now);
         true
     }
 
-    /// Notes that the agent at `host` says that the engine there is down.
+    /// Records that the agent at `host` reports its engine as down.
     pub fn note_down(&mut self, host: IpAddr, now: Tick) {
         let engines = self.targets.iter_mut().filter(|target| target.model.is_some());
         for target in engines.filter(|target| target.record.address.ip() == host) {
--- a/src/relay/core/evacuation.rs
+++ b/src/relay/core/evacuation.rs
@@ -1,4 +1,4 @@
-//! What the core knows of failure domains that are out of service.
+//! Failure domains that are out of service.
 
 use std::sync::Arc;
 
@@ -7,8 +7,9 @@
 use crate::time::Tick;
 
 impl RelayCore {
-    /// Takes the failure domains that were out of service at `proven_at`. Returns true where
-    /// that changes anything. What is proven of the configuration then may be taken after it.
+    /// Applies the list of failure domains that were out of service at `proven_at`. Returns `true`
+    /// if that changes anything. What the same read proves of the
+    /// configuration may only be applied afterwards.
     pub fn take_evacuations(&mut self, list: EvacuationList, proven_at: Tick, now: Tick) -> bool {
         let EvacuationList { domains, epoch } = list;
         if !self.evacuations.take(domains, epoch, proven_at, now) {
@@ -19,7 +20,7 @@
         true
     }
 
-    /// The failure domains that are out of service.
+    /// Returns the failure domains that are out of service.
     pub fn evacuated(&self) -> impl Iterator<Item = &Arc<str>> {
         self.evacuations.domains().iter()
     }
--- a/src/relay/core/mod.rs
+++ b/src/relay/core/mod.rs
@@ -1,4 +1,4 @@
-//! What the relay of one entry knows and decides, without input or output.
+//! State and decisions of an entry's relay. This module does no input or output.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -32,84 +32,85 @@
 mod quarantine;
 pub mod target_list;
 
-/// Places among entries that write the same, by the random part of an incarnation.
-const PLACES: u64 = 1 << 10;
+/// Number of distinct jitter values, which are taken from the random part of an incarnation.
+const JITTER_STEPS: u64 = 1 << 10;
 
-fn spread_of(entry: u64) -> f64 {
-    (entry % PLACES) as f64 / PLACES as f64
+fn jitter_of(entry: u64) -> f64 {
+    (entry % JITTER_STEPS) as f64 / JITTER_STEPS as f64
 }
 
-/// What does not change while the process runs.
+/// Settings that the core works within. They change only when the settings file is reloaded.
 #[derive(Clone, Debug)]
 pub struct RelayLimits {
     /// Failure domain of this process.
     pub failure_domain: Arc<str>,
-    /// Region of each failure domain.
+    /// Region of each failure domain, by the domain's name.
     pub regions: BTreeMap<Arc<str>, Arc<str>>,
     /// Longest time between the removal of a key and its last use.
     pub revoke_bound: Duration,
-    /// Longest time in which the targets of a failure domain that is taken out of service may
-    /// still get requests, none where none is ever taken out.
+    /// Longest time during which the targets of an evacuated failure domain may still get
+    /// requests. `None` if the platform never evacuates a domain.
     pub evacuate_bound: Option<Duration>,
-    /// What cold targets may get.
+    /// Bound on the requests that cold targets may get.
     pub warmup_bound: WarmupBound,
-    /// What is done while the configuration can not be proven current.
+    /// Policy while the configuration cannot be proven current.
     pub stale_policy: StalePolicy,
-    /// Longest time in which a target that is leaving may still get requests.
+    /// Longest time during which a target that is leaving may still get requests.
     pub drain_bound: Duration,
-    /// How long the store remembers what changed.
+    /// How long the store keeps its history of changes.
     pub store_history: Duration,
-    /// Bound on second attempts over all entries.
+    /// Bound on retries over all entries.
     pub retry_bound: RetryBound,
-    /// What is weighed when a request is placed.
+    /// Weights and switches of the placement of requests.
     pub policy: RelayPolicy,
 }
 
 impl RelayLimits {
-    /// How old what is served by may be: the configuration, and which failure domains are out
-    /// of service.
+    /// Maximum age of the proof by which requests are served: of the configuration, and of the
+    /// list of failure domains that are out of service.
     #[must_use]
     pub fn proof_bound(&self) -> Duration {
         self.evacuate_bound.map_or(self.revoke_bound, |bound| bound.min(self.revoke_bound))
     }
 }
 
-/// Why a request is refused before anything is done.
+/// Reason for which a request is refused before it is placed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// No configuration is known, or it can not be proven current.
+    /// No configuration is known, or it cannot be proven current.
     NotFresh,
-    /// No route takes it.
+    /// No route matches the request.
     NoRoute,
-    /// Its key is not known.
+    /// The key is unknown.
     BadKey,
 }
 
-/// What an attempt holds at targets, to be given back.
+/// A sent attempt with the resources that it occupies at targets. [`RelayCore::end`] releases
+/// them.
 #[derive(Clone, Debug)]
 pub struct AttemptShare {
     /// The target that answers.
     pub target: Arc<str>,
-    /// Its life, none where it is gone.
+    /// The instance of that target, `None` if the target is no longer listed.
     pub life: Option<TargetLife>,
-    /// Whether targets ended under the request before.
+    /// Whether targets crashed under this request before.
     pub is_suspect: bool,
-    /// The targets that help.
+    /// The targets that prefill shards of the prompt.
     pub helpers: Vec<Arc<str>>,
-    /// The name of its stream.
+    /// Key of the stream in the load models of its engines.
     pub key: StreamKey,
-    /// Latest time at which it is sent, none where its target took any number.
+    /// Latest time at which the attempt may be sent, `None` if its target is not rate-limited.
     pub turn_until: Option<Tick>,
 }
 
-/// State and decisions of the relay.
+/// State and decisions of the relay of one entry.
 #[derive(Debug)]
 pub struct RelayCore {
     limits: RelayLimits,
     entry: u64,
     next_number: u64,
     rules: Rc<RuleTable>,
-    /// Epoch of the store that held them last.
+    /// Epoch of the store that last held these rules.
     rules_epoch: u64,
     lease: FreshnessLease,
     proof_share: ProofShare,
@@ -119,37 +120,38 @@
     config_share: ConfigShare,
     /// Digest of the configuration in force.
     config_digest: u64,
-    /// The newest one that the store itself has told this entry.
+    /// The newest configuration that this entry received from the store itself.
     store_copy: Option<ConfigCopy>,
-    /// When the newest read was sent that showed no earlier configuration.
+    /// When the newest read was sent that did not return an earlier configuration.
     read_at: Tick,
-    /// Whether what the store holds there is earlier than the configuration in force.
+    /// Whether the store holds an earlier configuration than the one in force.
     is_store_behind: bool,
-    /// Epoch of the store in which the configuration was proven last.
+    /// Epoch of the store in which the configuration was last proven.
     proven_epoch: u64,
-    /// Newest epoch of the store that is known, none before its first answer.
+    /// Newest known epoch of the store, `None` before its first answer.
     store_epoch: Option<u64>,
-    /// The configuration in force, to be passed on.
+    /// The configuration in force, kept to be passed on to other entries.
     config: Option<Rc<RelayConfig>>,
-    /// The targets.
+    /// The known targets.
     pub targets: TargetSet,
     evacuations: EvacuationSet,
-    /// Targets that were removed and not told of yet.
+    /// Targets that were removed and have not been returned by
+    /// [`RelayCore::expire_targets`] yet.
     expired: ListChange,
     budgets: HashMap<Arc<str>, RetryBudget>,
-    /// Most entries that an agent was seen to tell.
-    entries: Option<usize>,
-    notes: Vec<LoadNote>,
+    /// Largest number of subscribed entries that any agent has reported.
+    max_subscribers: Option<usize>,
+    outbox: Vec<LoadNote>,
     quarantine: QuarantineLedger,
     rates: RateBook,
-    /// What agents were told of rates.
-    rates_told: RateTold,
+    /// What has been announced to agents about rates.
+    announced_rates: RateTold,
     /// Unix time of tick zero, in milliseconds.
-    epoch_ms: u64,
+    unix_origin_ms: u64,
 }
 
 impl RelayCore {
-    /// A relay that knows nothing yet. `entry` is its incarnation.
+    /// Creates a relay without configuration or targets. `entry` is its incarnation.
     #[must_use]
     pub fn new(limits: RelayLimits, entry: u64) -> Self {
         RelayCore {
@@ -174,16 +176,16 @@
             evacuations: EvacuationSet::default(),
             expired: ListChange::default(),
             budgets: HashMap::new(),
-            entries: None,
-            notes: Vec::new(),
-            quarantine: QuarantineLedger::new(spread_of(entry)),
+            max_subscribers: None,
+            outbox: Vec::new(),
+            quarantine: QuarantineLedger::new(jitter_of(entry)),
             rates: RateBook::default(),
-            rates_told: RateTold::default(),
-            epoch_ms: 0,
+            announced_rates: RateTold::default(),
+            unix_origin_ms: 0,
         }
     }
 
-    /// Takes changed limits. What was proven and spent before stays so.
+    /// Applies changed limits. Proofs and spent budgets are kept.
     pub fn set_limits(&mut self, limits: RelayLimits) {
         self.lease.set_bound(limits.proof_bound(), limits.stale_policy);
         for budget in self.budgets.values_mut() {
@@ -192,51 +194,52 @@
         self.limits = limits;
     }
 
-    /// What does not change with configuration and targets.
+    /// Returns the limits in force.
     #[must_use]
     pub fn limits(&self) -> &RelayLimits {
         &self.limits
     }
 
-    /// The rules in force here.
+    /// Returns the rules in force.
     #[must_use]
     pub fn rules(&self) -> Rc<RuleTable> {
         self.rules.clone()
     }
 
-    /// The lease on the configuration.
+    /// Returns the freshness lease of the configuration.
     #[must_use]
     pub fn lease(&self) -> &FreshnessLease {
         &self.lease
     }
 
-    /// Incarnation of this entry.
+    /// Returns the incarnation of this entry.
     #[must_use]
     pub fn entry(&self) -> u64 {
         self.entry
     }
 
-    /// Returns true where requests can be served, and others would not serve them
-    /// better.
+    /// Returns `true` if this entry can serve requests. An entry that alone is cut off from the
+    /// store is not ready, since the other entries serve its callers better.
     #[must_use]
     pub fn is_ready(&self, now: Tick) -> bool {
-        let is_let_in = self.lease.permits_keys(now) && !self.lease.is_behind(now);
-        is_let_in && self.targets.has_list()
+        let is_admitting = self.lease.permits_keys(now) && !self.lease.is_behind(now);
+        is_admitting && self.targets.has_list()
     }
 
-    /// Returns true once a configuration was in force and a list of targets was read.
+    /// Returns `true` once a configuration has been in force and a target list has been read.
     #[must_use]
     pub fn has_started(&self) -> bool {
         self.lease.permits_public() && self.targets.has_list()
     }
 
-    /// Place of this entry among all, from 0 to 1, at random but always the same.
-    fn spread(&self) -> f64 {
-        spread_of(self.entry)
+    /// Returns the jitter of this entry, from 0 to 1. It is random, but constant for an
+    /// incarnation.
+    fn jitter(&self) -> f64 {
+        jitter_of(self.entry)
     }
 
-    /// Hosts of all engines, by the address of one engine each, in the order of `rank` of
-    /// their names: the same for all entries, whichever engines these use.
+    /// Returns one engine address for each host, ordered by `rank` of the host's name. The
+    /// order is the same for all entries, whichever engines they use.
     pub(crate) fn ranked_hosts(&self, rank: impl Fn(&str) -> u64) -> Vec<SocketAddr> {
         let engines = self.targets.iter().filter(|target| target.model.is_some());
         let mut hosts: Vec<_> = engines.map(|target| target.record.address).collect();
@@ -246,12 +249,12 @@
         hosts
     }
 
-    /// Finds the route and account of a request that was read at `now`.
+    /// Finds the route and the account of a request that was read at `now`.
     ///
     /// # Errors
     ///
-    /// The configuration does not allow it, or is not known to be current where
-    /// it has to be.
+    /// Returns an error if the configuration does not allow the request, or if it is not
+    /// proven current and the request requires that.
     pub fn admit(
         &mut self,
         host: &str,
@@ -265,14 +268,14 @@
         match self.rules.admit(host, path, key) {
             Ok(access) if self.may_serve(&access.route, now) => Ok(access),
             Ok(_) => Err(Refusal::NotFresh),
-            // A newer configuration may know the route or the key.
+            // A newer configuration may contain the route or the key.
             Err(_) if !self.lease.is_held(now) => Err(Refusal::NotFresh),
             Err(AccessFault::NoRoute) => Err(Refusal::NoRoute),
             Err(AccessFault::BadKey) => Err(Refusal::BadKey),
         }
     }
 
-    /// The failure domains whose targets may run a request, none where all may.
+    /// Returns the failure domains whose targets may run a request, `None` if all may.
     #[must_use]
     pub fn home_domains(&self, access: &Access) -> Option<Rc<DomainSet>> {
         if access.permits_all_regions() {
@@ -283,46 +286,47 @@
         Some(Rc::new(homes.map(|(domain, _)| domain.clone()).collect()))
     }
 
-    /// Returns true where a request of a route that was admitted may be served.
+    /// Returns `true` if a request on an admitted route may be served.
     #[must_use]
     pub fn may_serve(&self, route: &RouteRule, now: Tick) -> bool {
         self.lease.permits_keys(now) || (route.is_public && self.lease.permits_public())
     }
 
-    /// The service that a request of a route goes to, by a number that stays
-    /// the same for the request.
+    /// Picks one of the route's services by weight. `number` has to be the same each time that
+    /// the service of a request is picked.
     #[must_use]
     pub fn pick_service(route: &RouteRule, number: u64) -> Option<Arc<str>> {
         let total: u64 = route.services.iter().map(|share| u64::from(share.weight)).sum();
-        let mut rest = number.checked_rem(total)?;
+        let mut remaining = number.checked_rem(total)?;
         for share in &route.services {
             let weight = u64::from(share.weight);
-            if rest < weight {
+            if remaining < weight {
                 return Some(share.service.clone());
             }
-            rest -= weight;
+            remaining -= weight;
         }
         None
     }
 
-    /// Entries of the whole fleet. An agent counts those that use its engine, which
-    /// are a part of all where each uses a part of the engines.
+    /// Returns the number of entries in the whole fleet, as far as it is known. An agent counts
+    /// the entries that use its engine, and in a large fleet each entry uses a part of the
+    /// engines only, so the number is extrapolated.
     #[must_use]
     pub fn fleet_entries(&self) -> Option<usize> {
         let engines = || self.targets.iter().filter(|target| target.model.is_some());
         let used: Vec<_> = engines().filter(|target| target.is_used).collect();
         if used.len() == engines().count() {
-            return self.entries;
+            return self.max_subscribers;
         }
-        let told: Vec<_> =
+        let reporting: Vec<_> =
             used.iter().map(|target| target.subscribers).filter(|n| *n > 0).collect();
-        let all = told.iter().sum::<usize>() * engines().count();
-        (!told.is_empty()).then(|| all.div_ceil(told.len() * used.len()))
+        let subscribers = reporting.iter().sum::<usize>() * engines().count();
+        (!reporting.is_empty()).then(|| subscribers.div_ceil(reporting.len() * used.len()))
     }
 
-    /// Takes a note from an agent.
-    pub fn take_note(&mut self, note: LoadNote, now: Tick) {
-        match note {
+    /// Applies a message from an agent.
+    pub fn take_note(&mut self, message: LoadNote, now: Tick) {
+        match message {
             LoadNote::Welcome {
                 target,
                 entries,
@@ -334,10 +338,11 @@
                 config_mark,
             } => {
                 self.list_share.note_agent(watchers, list_mark, now);
-                if let Some(mark) = config_mark {
-                    self.config_share.note_told(mark, self.config_revision, now);
+                if let Some(revision) = config_mark {
+                    self.config_share.note_told(revision, self.config_revision, now);
                 }
-                self.entries = Some(self.entries.unwrap_or(0).max(entries as usize));
+                self.max_subscribers =
+                    Some(self.max_subscribers.unwrap_or(0).max(entries as usize));
                 if let Some(target) = self.targets.get_mut(&target) {
                     target.subscribers = entries as usize;
                 }
@@ -377,13 +382,13 @@
         self.targets.get_mut(target)?.model.as_mut()
     }
 
-    /// Takes the notes that are to be sent to agents.
+    /// Takes the messages that are to be sent to agents.
     pub fn take_notes(&mut self) -> Vec<LoadNote> {
-        let notes = std::mem::take(&mut self.notes);
-        if self.limits.policy.sends_notes { notes } else { Vec::new() }
+        let messages = std::mem::take(&mut self.outbox);
+        if self.limits.policy.sends_notes { messages } else { Vec::new() }
     }
 
-    /// Names of the services that have engines.
+    /// Returns the names of the services that have engines.
     #[must_use]
     pub fn engine_services(&self) -> HashSet<Arc<str>> {
         let services = self.rules.services().filter(|service| service.engine.is_some());
--- a/src/relay/core/permits.rs
+++ b/src/relay/core/permits.rs
@@ -1,4 +1,4 @@
-//! What the core knows of rates that targets take, and when it may send there.
+//! Rate limits of targets, and permits to send to rate-limited targets.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,109 +16,111 @@
 use crate::relay::decide::target_state::{TargetLife, TargetState};
 use crate::time::Tick;
 
-/// Time after its turn within which a request is sent: one that is held up by a slow
-/// connection or a frozen host would join those of later turns.
-pub(super) const TURN_SPAN: Duration = Duration::from_millis(300);
+/// Time after its permitted moment within which a request may be sent. A request that a slow
+/// connection or a frozen host delays for longer would add to those of later permits.
+pub(super) const SEND_WINDOW: Duration = Duration::from_millis(300);
 
-/// Time for which an agent that did not answer is passed over for the second one.
-const PASSED_OVER_SPAN: Duration = Duration::from_secs(2);
+/// Time for which the second agent is asked in place of one that did not answer.
+const FALLBACK_DURATION: Duration = Duration::from_secs(2);
 
-/// Time for which a target is left alone where no agent answers for it.
-const UNHEARD_SPAN: Duration = Duration::from_millis(500);
+/// Time without requests to a target if no agent answers for it, and time until the next request
+/// for a retry if no agent answers that.
+const NO_ANSWER_DELAY: Duration = Duration::from_millis(500);
 
-/// Most agents that are told of the targets for which they give permits, at each occasion.
-const MOST_GIVERS: usize = 64;
+/// Maximum number of agents that are sent the rates of targets for which they issue permits, at
+/// each occasion.
+const MAX_ISSUERS: usize = 64;
 
-/// A question for a permit, and who is asked.
+/// A request for a permit, and the agent to send it to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PermitQuery {
-    /// What is asked.
+    /// The request.
     pub ask: PermitAsk,
-    /// When.
+    /// When it is sent.
     pub asked_at: Tick,
-    /// A target on the host of the agent that is asked; none where there is none.
+    /// A target on the host of the agent to send it to, `None` if there is no agent.
     pub beside: Option<SocketAddr>,
 }
 
-/// A question for a second attempt, and who is asked.
+/// A request for a retry from the shared budget, and the agent to send it to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SlackQuery {
-    /// What is asked.
+    /// The request.
     pub ask: SlackAsk,
-    /// A target on the host of the agent that is asked.
+    /// A target on the host of the agent to send it to.
     pub beside: SocketAddr,
 }
 
-/// What became of the question.
+/// Outcome of a request for a permit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PermitVerdict {
     /// The request may be sent within these times.
     Turn {
-        /// Not before.
+        /// Earliest time.
         from: Tick,
-        /// Not after.
+        /// Latest time.
         until: Tick,
     },
-    /// It is to be placed anew.
+    /// The request has to be placed again.
     Elsewhere,
 }
 
 impl RelayCore {
-    /// Takes what an answer says of the rate of the target that gave it, to a request that
-    /// was sent at `sent_at`; none where what it leaves out says nothing.
+    /// Applies what an answer says of the rate of the target that gave it, to a request sent at
+    /// `sent_at`. With `None` for `sent_at`, an answer without a rate says nothing.
     pub fn take_rate(
         &mut self,
-        life: &TargetLife,
-        word: RateWord,
+        instance: &TargetLife,
+        stated: RateWord,
         sent_at: Option<Tick>,
         now: Tick,
     ) {
-        let is_changed = match word {
-            RateWord::Silent => sent_at.is_some_and(|at| self.rates.note_silent(life, at)),
+        let is_changed = match stated {
+            RateWord::Silent => sent_at.is_some_and(|at| self.rates.note_silent(instance, at)),
             RateWord::Unreadable => false,
-            RateWord::Named(rate) => self.rates.note_named(life, rate, now),
+            RateWord::Named(rate) => self.rates.note_named(instance, rate, now),
         };
         if is_changed {
             self.mark_rates(now);
         }
     }
 
-    /// Takes what an agent knows of rates.
-    pub fn take_rates(&mut self, news: &[RateNews], now: Tick) {
+    /// Applies an agent's rate updates.
+    pub fn take_rates(&mut self, updates: &[RateNews], now: Tick) {
         let mut is_changed = false;
-        for news in news {
-            is_changed |= self.rates.take(news, now);
+        for update in updates {
+            is_changed |= self.rates.take(update, now);
         }
         if is_changed {
             self.mark_rates(now);
         }
     }
 
-    /// What agents are told of rates.
+    /// Returns the rate updates that are due to be sent to agents.
     pub fn to_rates(&mut self, now: Tick) -> Vec<RateNews> {
-        self.rates.to_news(&mut self.rates_told, now)
+        self.rates.to_news(&mut self.announced_rates, now)
     }
 
-    /// What the agent that gives permits for a target is told of it, with the address of a
-    /// target on its host: it may have started anew.
+    /// Returns updates for the agents that issue permits, each with the address of a target on the
+    /// agent's host. Such an agent may have restarted and know no rate.
     #[must_use]
     pub fn to_giver_rates(&self, now: Tick) -> Vec<(SocketAddr, RateNews)> {
-        let scarce = self.targets.iter().filter(|target| target.rate.is_some());
-        let told = scarce.filter_map(|target| {
-            let news = self.rates.to_news_of(&target.record.to_life(), now)?;
-            Some((self.permit_giver(target, false)?, news))
+        let limited = self.targets.iter().filter(|target| target.rate.is_some());
+        let updates = limited.filter_map(|target| {
+            let update = self.rates.to_news_of(&target.record.to_life(), now)?;
+            Some((self.issuer_of(target, false)?, update))
         });
-        told.take(MOST_GIVERS).collect()
+        updates.take(MAX_ISSUERS).collect()
     }
 
-    /// Forgets rates of which nothing was heard for long.
+    /// Removes rates that have not been confirmed for a long time.
     pub fn expire_rates(&mut self, now: Tick) {
-        if self.rates.expire(self.spread(), now) {
+        if self.rates.expire(self.jitter(), now) {
             self.mark_rates(now);
         }
     }
 
-    /// Gives each target the rate that binds it, by what is known of it or while it is cold.
+    /// Sets the effective rate limit of each target, from its announced rate and its warm-up.
     pub(super) fn mark_rates(&mut self, now: Tick) {
         for target in self.targets.iter_mut() {
             let is_known = !self.rates.is_empty();
@@ -127,8 +129,8 @@
         }
     }
 
-    /// What has to be asked before a request is sent as it was placed, none where its target
-    /// takes any number. It would wait for its turn for `most_wait`.
+    /// Returns the request for a permit that has to be made before a request is sent as it was
+    /// placed, `None` if its target is not rate-limited. The request would wait up to `most_wait`.
     #[must_use]
     pub fn permit_query(
         &self,
@@ -146,21 +148,21 @@
         let news = match self.rates.to_news_of(&life, now) {
             Some(news) => news,
             None if warmup.is_none() => return None,
-            // That no rate is known of it is no news.
+            // An unknown rate is no update.
             None => RateNews { life, rate: None, age_ms: u32::MAX },
         };
-        let is_second = target.unheard_at.is_some_and(|at| now.since(at) < PASSED_OVER_SPAN);
+        let is_second = target.unheard_at.is_some_and(|at| now.since(at) < FALLBACK_DURATION);
         let ask = PermitAsk {
             news,
             warmup,
             most_wait_ms: most_wait.as_millis().try_into().unwrap_or(u32::MAX),
             is_second,
         };
-        Some(PermitQuery { ask, asked_at: now, beside: self.permit_giver(target, is_second) })
+        Some(PermitQuery { ask, asked_at: now, beside: self.issuer_of(target, is_second) })
     }
 
-    /// Time until there may be a turn at a target of a service that takes few requests and
-    /// would take one now, none where there is no such target.
+    /// Returns the time until a permit may be granted at a rate-limited target of a service that
+    /// is otherwise usable, `None` if there is no such target.
     #[must_use]
     pub fn time_to_turn<'a>(
         &self,
@@ -170,10 +172,10 @@
         until_turn(&self.targets, service, now)
     }
 
-    /// The agents that are to be asked for a second attempt beside the own share, one after
-    /// the other; none where they would not give one.
+    /// Returns the requests for a retry from the shared budget, to be sent to one agent after the
+    /// other. `None` if the agents would refuse.
     pub fn slack_queries(&mut self, service: &Arc<str>, now: Tick) -> Option<Vec<SlackQuery>> {
-        const ASKED: usize = 2;
+        const MAX_AGENTS: usize = 2;
         if !self.budget(service).may_ask(now) {
             return None;
         }
@@ -182,16 +184,16 @@
         let seed = xxhash_rust::xxh3::xxh3_64(service.as_bytes());
         let hosts =
             self.ranked_hosts(|host| xxhash_rust::xxh3::xxh3_64_with_seed(host.as_bytes(), seed));
-        let asked = [false, true].into_iter().zip(hosts.into_iter().take(ASKED));
+        let agents = [false, true].into_iter().zip(hosts.into_iter().take(MAX_AGENTS));
         let to_query = |(is_second, beside)| SlackQuery {
             ask: SlackAsk { service: service.clone(), slack, window_ms, is_second },
             beside,
         };
-        Some(asked.map(to_query).collect())
+        Some(agents.map(to_query).collect())
     }
 
-    /// Takes the last answer to these questions, none where none came. Returns true where a
-    /// second attempt may be made.
+    /// Applies the last answer to these requests, `None` if no agent answered. Returns `true` if a
+    /// retry may be made.
     pub fn take_slack(
         &mut self,
         service: &Arc<str>,
@@ -206,57 +208,57 @@
                 false
             }
             None => {
-                budget.note_refused(now + UNHEARD_SPAN);
+                budget.note_refused(now + NO_ANSWER_DELAY);
                 budget.take_alone(now)
             }
         }
     }
 
-    /// A target on the host whose agent gives permits for a target: all entries ask the same
-    /// one, whichever targets they use.
-    fn permit_giver(&self, target: &TargetState, is_second: bool) -> Option<SocketAddr> {
+    /// Returns a target on the host of the agent that issues permits for a target. All entries
+    /// ask the same agent, whichever targets they use.
+    fn issuer_of(&self, target: &TargetState, is_second: bool) -> Option<SocketAddr> {
         let beside = target.model.is_some().then_some(target.record.address);
         if !is_second && beside.is_some() {
             return beside;
         }
-        let life = target.record.to_life();
+        let instance = target.record.to_life();
         let hosts = self.ranked_hosts(|host| {
-            xxhash_rust::xxh3::xxh3_64_with_seed(host.as_bytes(), life.seed())
+            xxhash_rust::xxh3::xxh3_64_with_seed(host.as_bytes(), instance.seed())
         });
         let others =
-            hosts.into_iter().filter(|host| beside.is_none_or(|own| own.ip() != host.ip()));
+            hosts.into_iter().filter(|host| beside.is_none_or(|other| other.ip() != host.ip()));
         beside.into_iter().chain(others).nth(usize::from(is_second))
     }
 
-    /// Takes the answer to a question, none where none came.
+    /// Applies the answer to a request for a permit, `None` if no answer came.
     pub fn take_permit(
         &mut self,
         query: &PermitQuery,
         reply: Option<PermitReply>,
         now: Tick,
     ) -> PermitVerdict {
-        let life = &query.ask.news.life;
+        let instance = &query.ask.news.life;
         if reply == Some(PermitReply::Open) {
-            // An answer may have named a rate since.
+            // An answer may have named a rate since the permit was requested.
             let age_ms = now.since(query.asked_at).as_millis().try_into().unwrap_or(u32::MAX);
-            let news = RateNews { rate: None, age_ms, ..query.ask.news.clone() };
-            self.take_rates(&[news], now);
+            let update = RateNews { rate: None, age_ms, ..query.ask.news.clone() };
+            self.take_rates(&[update], now);
             return PermitVerdict::Turn { from: now, until: Tick::NEVER };
         }
-        let target = self.targets.get_mut(&life.incarnation);
-        let Some(target) = target.filter(|target| target.record.to_life() == *life) else {
+        let target = self.targets.get_mut(&instance.incarnation);
+        let Some(target) = target.filter(|target| target.record.to_life() == *instance) else {
             return PermitVerdict::Elsewhere;
         };
         match reply {
             Some(PermitReply::Granted { after_ms }) => {
                 let from = now + Duration::from_millis(after_ms.into());
-                return PermitVerdict::Turn { from, until: from + TURN_SPAN };
+                return PermitVerdict::Turn { from, until: from + SEND_WINDOW };
             }
             Some(PermitReply::Refused { wait_ms }) => {
                 target.close(now + Duration::from_millis(wait_ms.into()), now);
             }
             _ if query.ask.is_second || query.beside.is_none() => {
-                target.close(now + UNHEARD_SPAN, now);
+                target.close(now + NO_ANSWER_DELAY, now);
             }
             _ => target.unheard_at = Some(now),
         }
--- a/src/relay/core/quarantine.rs
+++ b/src/relay/core/quarantine.rs
@@ -1,4 +1,4 @@
-//! What the core knows of requests that end targets.
+//! Requests that crash the targets that run them.
 
 use std::net::IpAddr;
 use std::sync::Arc;
@@ -14,128 +14,128 @@
 use crate::time::Tick;
 
 impl RelayCore {
-    /// Requests that are suspected or held back.
+    /// Returns the ledger of requests that are suspected or quarantined.
     #[must_use]
     pub fn quarantine(&self) -> &QuarantineLedger {
         &self.quarantine
     }
 
-    /// Says what the Unix time was at tick zero, in milliseconds.
+    /// Sets the Unix time of tick zero, in milliseconds.
     pub fn set_epoch(&mut self, unix_ms: u64) {
-        self.epoch_ms = unix_ms;
+        self.unix_origin_ms = unix_ms;
     }
 
     pub(super) fn unix_ms(&self, now: Tick) -> u64 {
-        self.epoch_ms + now.since(Tick::default()).as_millis() as u64
+        self.unix_origin_ms + now.since(Tick::default()).as_millis() as u64
     }
 
-    /// The life that a target is in, none where it is not known.
+    /// Returns the current instance of a target, `None` if the target is unknown.
     #[must_use]
     pub fn life_of(&self, target: &str) -> Option<TargetLife> {
         self.targets.get(target).map(|target| target.record.to_life())
     }
 
-    /// Returns true where a life of a target may still be at work.
+    /// Returns `true` if an instance of a target may still be running.
     #[must_use]
-    pub fn may_live(&self, life: &TargetLife) -> bool {
-        let is_listed = self.life_of(&life.incarnation).as_ref() == Some(life);
-        is_listed && !self.quarantine.has_ended(life)
+    pub fn may_live(&self, instance: &TargetLife) -> bool {
+        let is_listed = self.life_of(&instance.incarnation).as_ref() == Some(instance);
+        is_listed && !self.quarantine.has_ended(instance)
     }
 
-    /// Notes that an attempt of a suspect is at its target.
-    pub fn mark_suspect(&mut self, share: &mut AttemptShare) {
-        if let Some(life) = &share.life {
-            self.quarantine.note_sent(life);
-            share.is_suspect = true;
+    /// Records that an attempt of a suspect was sent to its target.
+    pub fn mark_suspect(&mut self, attempt: &mut AttemptShare) {
+        if let Some(instance) = &attempt.life {
+            self.quarantine.note_sent(instance);
+            attempt.is_suspect = true;
         }
     }
 
-    /// Targets where attempts of suspects of this entry are.
+    /// Returns the targets that have attempts of suspects from this entry.
     #[must_use]
     pub fn suspect_targets(&self) -> Vec<Arc<str>> {
-        self.quarantine.open_targets().map(|life| life.incarnation.clone()).collect()
+        self.quarantine.open_targets().map(|instance| instance.incarnation.clone()).collect()
     }
 
-    /// Notes that the connection of an attempt broke, whose events had come for a time.
+    /// Records a broken connection of an attempt that had received events for `settled`.
     pub fn note_broken(
         &mut self,
         digest: RequestDigest,
-        life: &TargetLife,
+        instance: &TargetLife,
         settled: Duration,
         now: Tick,
     ) {
-        let news = self.quarantine.note_broken(digest, life, settled, now);
-        self.notes.extend(news.map(LoadNote::Suspected));
+        let report = self.quarantine.note_broken(digest, instance, settled, now);
+        self.outbox.extend(report.map(LoadNote::Suspected));
     }
 
-    /// Notes that nobody listens at a target. Returns true where it has ended by that.
-    pub fn note_unreachable(&mut self, life: &TargetLife, now: Tick) -> bool {
-        let target = self.targets.get_mut(&life.incarnation);
-        let has_ended = target.is_some_and(|target| target.note_unreachable(now));
-        if has_ended {
-            self.note_end(life, now);
+    /// Records that a target refuses connections. Returns `true` if that proves a crash.
+    pub fn note_unreachable(&mut self, instance: &TargetLife, now: Tick) -> bool {
+        let target = self.targets.get_mut(&instance.incarnation);
+        let has_crashed = target.is_some_and(|target| target.note_unreachable(now));
+        if has_crashed {
+            self.record_crash(instance, now);
         }
-        has_ended
+        has_crashed
     }
 
-    /// Notes that an agent says that the engine at its host has ended; `next_ms` is the
-    /// start of the life that follows, where there is one.
+    /// Records an agent's report that the engine on its host has crashed. `next_ms` is the start of
+    /// the following instance, if there is one.
     pub fn note_exited(&mut self, host: IpAddr, next_ms: Option<u64>, now: Tick) {
         let engines = self.targets.iter().filter(|target| target.model.is_some());
-        let there = engines.filter(|target| target.record.address.ip() == host);
-        let former = there.filter(|target| next_ms.is_none_or(|at| target.record.born_ms < at));
-        let lives: Vec<_> = former.map(|target| target.record.to_life()).collect();
-        for life in lives {
-            self.note_end(&life, now);
+        let on_host = engines.filter(|target| target.record.address.ip() == host);
+        let former = on_host.filter(|target| next_ms.is_none_or(|at| target.record.born_ms < at));
+        let instances: Vec<_> = former.map(|target| target.record.to_life()).collect();
+        for instance in instances {
+            self.record_crash(&instance, now);
         }
     }
 
-    pub(super) fn note_ends(&mut self, change: &ListChange, now: Tick) {
-        for life in &change.ended {
-            self.note_end(life, now);
+    pub(super) fn record_crashes(&mut self, change: &ListChange, now: Tick) {
+        for instance in &change.ended {
+            self.record_crash(instance, now);
         }
     }
 
-    fn note_end(&mut self, life: &TargetLife, now: Tick) {
-        let news = self.quarantine.note_ended(life, now);
-        self.notes.extend(news.into_iter().map(LoadNote::Suspected));
+    fn record_crash(&mut self, instance: &TargetLife, now: Tick) {
+        let reports = self.quarantine.note_ended(instance, now);
+        self.outbox.extend(reports.into_iter().map(LoadNote::Suspected));
     }
 
-    /// Notes that a target answered a request.
+    /// Records that a target answered a request.
     pub fn note_answered(&mut self, digest: RequestDigest) {
         if self.quarantine.note_served(&digest) {
-            self.notes.push(LoadNote::Cleared(digest));
+            self.outbox.push(LoadNote::Cleared(digest));
         }
     }
 
-    /// Takes what an agent tells of a suspect.
-    pub fn take_suspect(&mut self, news: &SuspectNews, now: Tick) {
-        self.quarantine.take_news(news, now);
+    /// Applies an agent's report of a suspect.
+    pub fn take_suspect(&mut self, report: &SuspectNews, now: Tick) {
+        self.quarantine.take_news(report, now);
     }
 
-    /// Takes an agent's word that a target answered a request.
+    /// Applies an agent's report that a target answered a request.
     pub fn take_cleared(&mut self, digest: &RequestDigest) {
         self.quarantine.note_served(digest);
     }
 
-    /// Decides which requests are held back. Returns those that are since the last call.
+    /// Decides which requests are quarantined. Returns those added since the last call.
     pub fn decide_holds(&mut self, now: Tick) -> Vec<RequestDigest> {
         self.quarantine.decide(now);
         self.quarantine.take_found()
     }
 
-    /// What the store is to keep of the quarantine, where something is due.
+    /// Returns the records that the store should keep, if a write is due.
     pub fn quarantine_to_write(&mut self, now: Tick) -> Option<Vec<QuarantineRecord>> {
         let unix_ms = self.unix_ms(now);
-        // Without a configuration there is no object to write it to.
+        // Without a configuration there is no object to write them to.
         (!self.config_revision.is_unknown())
             .then(|| self.quarantine.to_write(unix_ms, now))
             .flatten()
     }
 
-    /// Notes that the store keeps these records, in an object that has this revision now.
-    /// Returns false where the object has to be read anew: a store that has come back from a
-    /// copy may have the revision that was written at once more, with another content.
+    /// Records that the store keeps these records, in an object that now has this revision.
+    /// Returns `false` if the object has to be read again: a store that was restored from a backup
+    /// may give out the same revision again with other content.
     pub fn note_written(
         &mut self,
         records: &[QuarantineRecord],
