--- a/src/relay/counts.rs
+++ b/src/relay/counts.rs
@@ -12,7 +12,7 @@
 use crate::metrics::{CountMirror, MetricsPage, length_class};
 use crate::time::Tick;
 
-/// What the store is called for.
+/// Purpose of a call to the store.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum StoreCall {
     ConfigRead,
@@ -36,7 +36,7 @@
     }
 }
 
-/// What is counted while requests are served, and the page that shows it.
+/// Counters of the relay, and the metrics registry that exposes them.
 #[derive(Debug)]
 pub(crate) struct RelayCounts {
     pub(crate) requests: u64,
@@ -50,7 +50,7 @@
     failed: u64,
     broken: u64,
     caller_left: u64,
-    page: MetricsPage,
+    registry: MetricsPage,
     mirrors: [CountMirror; 12],
     store_calls: IntCounterVec,
     notices: IntCounterVec,
@@ -62,27 +62,27 @@
     serves_unproven: IntGauge,
     store_epoch: IntGauge,
     targets: IntGauge,
-    held_back: IntGauge,
+    quarantined: IntGauge,
 }
 
 impl Default for RelayCounts {
     fn default() -> Self {
-        let page = MetricsPage::default();
+        let registry = MetricsPage::default();
         let mirrors = [
-            page.add_count("shalelane_relay_requests_total", "requests read"),
-            page.add_count("shalelane_relay_attempts_total", "sends to targets"),
-            page.add_count("shalelane_relay_failed_attempts_total", "sends without an answer"),
-            page.add_count("shalelane_relay_ejections_total", "times a target was left alone"),
-            page.add_count("shalelane_relay_store_failures_total", "failed calls to the store"),
-            page.add_count("shalelane_relay_shared_proofs_total", "proofs of other entries"),
-            page.add_count("shalelane_relay_answered_total", "requests answered whole"),
-            page.add_count("shalelane_relay_refused_total", "requests refused as not run"),
-            page.add_count("shalelane_relay_failed_total", "requests that failed"),
-            page.add_count("shalelane_relay_broken_total", "answers that broke off"),
-            page.add_count("shalelane_relay_caller_left_total", "callers that left"),
-            page.add_count("shalelane_relay_lost_lines_total", "log lines that nobody took"),
+            registry.add_count("shalelane_relay_requests_total", "requests read"),
+            registry.add_count("shalelane_relay_attempts_total", "sends to targets"),
+            registry.add_count("shalelane_relay_failed_attempts_total", "sends without an answer"),
+            registry.add_count("shalelane_relay_ejections_total", "times a target was left alone"),
+            registry.add_count("shalelane_relay_store_failures_total", "failed calls to the store"),
+            registry.add_count("shalelane_relay_shared_proofs_total", "proofs of other entries"),
+            registry.add_count("shalelane_relay_answered_total", "requests answered whole"),
+            registry.add_count("shalelane_relay_refused_total", "requests refused as not run"),
+            registry.add_count("shalelane_relay_failed_total", "requests that failed"),
+            registry.add_count("shalelane_relay_broken_total", "answers that broke off"),
+            registry.add_count("shalelane_relay_caller_left_total", "callers that left"),
+            registry.add_count("shalelane_relay_lost_lines_total", "log lines that nobody took"),
         ];
-        let first_event = page.add_first_token(
+        let first_event = registry.add_first_token(
             "shalelane_relay_first_event_seconds",
             "time to the first event of a stream, by length of its prompt",
         );
@@ -91,17 +91,17 @@
             attempts: 0,
             failed_attempts: 0,
             ejections: 0,
-            store_calls: page.add_counts(
+            store_calls: registry.add_counts(
                 "shalelane_relay_store_calls_total",
                 "calls to the store, by what for",
                 "kind",
             ),
-            notices: page.add_counts(
+            notices: registry.add_counts(
                 "shalelane_relay_target_notices_total",
                 "answers that said something of their target, by what",
                 "kind",
             ),
-            permits: page.add_counts(
+            permits: registry.add_counts(
                 "shalelane_relay_permits_total",
                 "questions whether a target that takes few requests takes one, by answer",
                 "answer",
@@ -113,36 +113,37 @@
             failed: 0,
             broken: 0,
             caller_left: 0,
-            config_version: page
+            config_version: registry
                 .add_gauge("shalelane_relay_config_version", "configuration in force"),
-            proof_age: page
+            proof_age: registry
                 .add_gauge("shalelane_relay_proof_age_ms", "age of the proof that it is current"),
-            serves_unproven: page.add_gauge(
+            serves_unproven: registry.add_gauge(
                 "shalelane_relay_serves_unproven",
                 "1 while callers are served by a configuration that can not be proven current",
             ),
-            store_epoch: page.add_gauge(
+            store_epoch: registry.add_gauge(
                 "shalelane_relay_store_epoch",
                 "times that the store came back from a copy",
             ),
-            targets: page.add_gauge("shalelane_relay_targets", "known targets"),
-            held_back: page.add_gauge(
+            targets: registry.add_gauge("shalelane_relay_targets", "known targets"),
+            quarantined: registry.add_gauge(
                 "shalelane_relay_held_back",
                 "requests that are held back since targets ended under them",
             ),
             first_event,
-            faults: page.add_counts(
+            faults: registry.add_counts(
                 "shalelane_relay_faults_total",
                 "requests that the relay answered with a failure of its own, by its code",
                 "code",
             ),
             mirrors,
-            page,
+            registry,
         }
     }
 }
 
 impl RelayCounts {
+    /// Counts the outcome of a request.
     pub(crate) fn note_end(&mut self, end: RequestEnd) {
         let count = match end {
             RequestEnd::Answered => &mut self.answered,
@@ -154,24 +155,24 @@
         *count += 1;
     }
 
-    /// Notes a call to the store that has ended.
+    /// Counts a finished call to the store.
     pub(crate) fn note_store_call(&self, call: StoreCall) {
         self.store_calls.with_label_values(&[call.as_str()]).inc();
     }
 
-    /// Notes what an answer said of its target.
+    /// Counts what an answer said of its target.
     pub(crate) fn note_notice(&self, notice: &TargetNotice) {
         let kinds = [
             ("leaving", notice.is_leaving),
             ("backoff", notice.backoff.is_some()),
             ("rate", notice.rate != RateWord::Silent),
         ];
-        for (kind, _) in kinds.into_iter().filter(|(_, is_said)| *is_said) {
+        for (kind, _) in kinds.into_iter().filter(|(_, is_present)| *is_present) {
             self.notices.with_label_values(&[kind]).inc();
         }
     }
 
-    /// Notes how a question for a permit ended, none where there was no answer.
+    /// Counts the outcome of a request for a permit, `None` if no answer came.
     pub(crate) fn note_permit(&self, reply: Option<PermitReply>) {
         let kind = match reply {
             Some(PermitReply::Granted { .. }) => "granted",
@@ -182,18 +183,18 @@
         self.permits.with_label_values(&[kind]).inc();
     }
 
-    /// Notes a failure that the relay answers itself. Codes are few and fixed.
+    /// Counts a failure answered by the relay itself. `code` is one of a small, fixed set.
     pub(crate) fn note_fault(&self, code: &'static str) {
         self.faults.with_label_values(&[code]).inc();
     }
 
-    /// Notes the time to the first event of a stream.
+    /// Records the time to the first event of a stream.
     pub(crate) fn note_first(&self, prompt_tokens: u64, first: Duration) {
-        let class = length_class(prompt_tokens);
-        self.first_event.with_label_values(&[class]).observe(first.as_secs_f64());
+        let length = length_class(prompt_tokens);
+        self.first_event.with_label_values(&[length]).observe(first.as_secs_f64());
     }
 
-    /// The page that is scraped.
+    /// Encodes all metrics in the Prometheus text format.
     pub(crate) fn to_text(&self, core: &RelayCore, lost_lines: u64, now: Tick) -> Vec<u8> {
         let counts = [
             self.requests,
@@ -219,7 +220,7 @@
         self.serves_unproven.set(i64::from(is_unproven));
         self.store_epoch.set(core.store_epoch() as i64);
         self.targets.set(core.targets.iter().count() as i64);
-        self.held_back.set(core.quarantine().holds().held_count(now) as i64);
-        self.page.to_text()
+        self.quarantined.set(core.quarantine().holds().held_count(now) as i64);
+        self.registry.to_text()
     }
 }
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -1,18 +1,16 @@
-//! The straight path: from an entry to a target without an agent between.
+//! The direct path from an entry to its targets, without an agent in between.
 //!
-//! Where the platform gives callers, targets and a store of its own manner, an
-//! adapter says how each is spoken to ([`proxy::dialect`], [`discovery::feed`]),
-//! and all that is decided is decided here:
+//! On a platform whose callers, targets and store have protocols of their own, an adapter
+//! defines these ([`proxy::dialect`], [`discovery::feed`]). Everything else is decided here:
 //!
-//! - [`decide`]: where requests go, when they are refused, and when callers are
-//!   told to come back; pure,
-//! - [`discovery`]: what is known of the platform, and how current it is,
-//! - [`peers`]: what entries and agents say to one another,
-//! - [`proxy`]: a request's way from its caller to a target and back.
+//! - [`decide`]: placement and refusal of requests, and the times at which callers should come
+//!   back, without input or output,
+//! - [`discovery`]: the configuration and the targets of the platform, and how current they are,
+//! - [`peers`]: messages between entries and agents,
+//! - [`proxy`]: the path of a request from its caller to a target and back.
 //!
-//! [`core::RelayCore`] joins the deciding parts and does no input or output.
-//! `shared` is the state that the tasks of a process share, and [`server`] starts
-//! all of them.
+//! [`core::RelayCore`] combines the decisions and does no input or output. `shared` holds the
+//! state that the tasks of a process share, and [`server`] starts these tasks.
 
 pub mod core;
 mod counts;
--- a/src/relay/record.rs
+++ b/src/relay/record.rs
@@ -1,8 +1,8 @@
-//! Log lines of the relay: one for each decision, with what decided it.
+//! Log lines of the relay: one for each decision, with the values that led to it.
 //!
-//! Lines go to a bounded queue and are written by another thread, so that a
-//! slow reader costs lines and never requests. Lines of requests that went
-//! well are rationed; the count of those left out is on the next one.
+//! Lines go through a bounded queue to a writer thread, so that a slow reader of the log costs
+//! lines but never delays requests. The number of lines of each kind per second is limited. The
+//! next line of that kind states how many were dropped.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -22,31 +22,31 @@
 use crate::time::Tick;
 use crate::verdict::Verdict;
 
-/// Lines that wait for the writer.
-const QUEUE_LINES: usize = 1_024;
+/// Maximum number of lines that wait for the writer thread.
+const MAX_QUEUED_LINES: usize = 1_024;
 
-/// Lines of a kind in each second: a line costs some 20 us of a small host.
-const LINES_PER_SECOND: u32 = 20;
+/// Maximum number of lines of one kind in a second. A line takes about 20 us on a small host.
+const MAX_LINES_PER_SECOND: u32 = 20;
 
-/// A logger, and how many of its lines could not be written.
+/// A logger that writes to standard output and counts the lines it could not write.
 #[derive(Clone, Debug)]
 pub struct StdoutLog {
     /// The logger.
     pub logger: Logger,
-    /// Lines that standard output did not take.
+    /// Number of lines that could not be written to standard output.
     pub lost_lines: Arc<AtomicU64>,
 }
 
 impl StdoutLog {
-    /// Makes the logger of a process. Lines go to standard output. Where nobody
-    /// reads that any more, they are counted and left out.
+    /// Creates the logger of a process. Lines that standard output does not accept, for example
+    /// because its reader has exited, are counted and dropped.
     #[must_use]
     pub fn new(process: &str) -> Self {
         let lost_lines = Arc::<AtomicU64>::default();
         let inner = slog_json::Json::default(io::stdout());
         let drain = LossyDrain { inner, lost_lines: lost_lines.clone() };
         let drain = slog_async::Async::new(drain)
-            .chan_size(QUEUE_LINES)
+            .chan_size(MAX_QUEUED_LINES)
             .overflow_strategy(slog_async::OverflowStrategy::DropAndReport)
             .build();
         let logger = Logger::root(drain.ignore_res(), o!("process" => process.to_owned()));
@@ -54,8 +54,8 @@
     }
 }
 
-/// Counts the lines that the drain within it can not write: an output without a
-/// reader must not end the thread that writes, and a line on it has nowhere to go.
+/// Counts the lines that the inner drain cannot write. An output without a reader must not end
+/// the writer thread, and there is no place to log the failure.
 struct LossyDrain<D> {
     inner: D,
     lost_lines: Arc<AtomicU64>,
@@ -73,136 +73,136 @@
     }
 }
 
-/// How a request ended.
+/// Outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, derive_more::Display)]
 pub enum RequestEnd {
-    /// The caller has the whole answer.
+    /// The caller received the whole answer.
     #[display("answered")]
     Answered,
-    /// Refused before it was sent to any target.
+    /// The request was refused before it was sent to any target.
     #[display("refused")]
     Refused,
-    /// Failed after it was sent.
+    /// The request failed after it was sent.
     #[display("failed")]
     Failed,
-    /// The answer broke off.
+    /// The answer was cut off.
     #[display("broken")]
     Broken,
-    /// The caller left.
+    /// The caller disconnected.
     #[display("caller_left")]
     CallerLeft,
 }
 
-/// Why a request was not sent again after a failure.
+/// Reason for which a request was not retried after a failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
 pub enum SeriesEnd {
-    /// It may have run, and may run once only.
+    /// The request may have run, and is not repeatable.
     #[display("may run once only")]
     RunsOnce,
-    /// Its time was up.
+    /// The time limit of the request was reached.
     #[display("time is up")]
     TimeUp,
-    /// It had been sent as often as its route allows.
+    /// The request was sent as often as its route allows.
     #[display("sent as often as allowed")]
     MostSends,
-    /// No second attempt was left in the budget.
+    /// The retry budget was spent.
     #[display("retry budget spent")]
     NoBudget,
-    /// No target could take it.
+    /// No target could take the request.
     #[display("no target")]
     NoTarget,
-    /// It is held back.
+    /// The request is quarantined.
     #[display("held back")]
     HeldBack,
 }
 
-/// How fast the events of a stream came.
+/// Timing of the events of a stream.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StreamPace {
-    /// Time from its arrival to the first event.
+    /// Time from the arrival of the request to the first event.
     pub first: Option<Duration>,
     /// Longest pause between two events.
     pub longest_pause: Duration,
-    last: Option<Tick>,
+    last_at: Option<Tick>,
 }
 
 impl StreamPace {
-    /// Notes events that were passed on.
+    /// Records events that were passed on to the caller.
     pub fn note(&mut self, arrived: Tick, now: Tick) {
         self.first.get_or_insert(now.since(arrived));
-        if let Some(last) = self.last {
-            self.longest_pause = self.longest_pause.max(now.since(last));
+        if let Some(last_at) = self.last_at {
+            self.longest_pause = self.longest_pause.max(now.since(last_at));
         }
-        self.last = Some(now);
+        self.last_at = Some(now);
     }
 }
 
-/// One line of a request.
+/// Fields of the log line of a request.
 #[derive(Debug)]
 pub struct RequestLine<'a> {
-    /// The caller's name of this sending.
+    /// Identifier that the caller gave to this send of the request.
     pub id: &'a str,
-    /// How it ended.
+    /// Outcome of the request.
     pub end: RequestEnd,
-    /// Status of the answer.
+    /// HTTP status of the answer.
     pub status: u16,
-    /// Why, in a few words.
+    /// Short reason for the outcome.
     pub why: &'a str,
-    /// Targets it was sent to, each once.
+    /// Names of the targets that the request was sent to, each once.
     pub targets: &'a str,
-    /// How often it was sent, or tried to be.
+    /// Number of times that the request was sent, failed sends included.
     pub sends: usize,
-    /// Which request it is, where a send of it failed.
+    /// Digest of the request, `Some` if an attempt of it failed.
     pub digest: Option<RequestDigest>,
-    /// Why it was not sent again after a failure.
+    /// Reason for which the request was not retried after a failure.
     pub series_end: Option<SeriesEnd>,
-    /// Time from its arrival.
+    /// Time since the arrival of the request.
     pub took: Duration,
     /// Time to the first event of a stream, and its longest pause.
     pub pace: StreamPace,
     /// Version of the configuration.
     pub version: u64,
-    /// Age of the proof that it is current.
+    /// Age of the proof that the configuration is current.
     pub proof_age: Option<Duration>,
 }
 
-/// One line of an attempt that failed.
+/// Fields of the log line of a failed attempt.
 #[derive(Debug)]
 pub struct FailedLine<'a> {
-    /// The caller's name of this sending.
+    /// Identifier that the caller gave to this send of the request.
     pub id: &'a str,
-    /// Which request it is.
+    /// Digest of the request.
     pub digest: RequestDigest,
-    /// The target.
+    /// Name of the target.
     pub target: &'a str,
-    /// Why, in a few words.
+    /// Short reason for the failure.
     pub why: &'a str,
-    /// Whether it may have run.
+    /// Whether the request may have run.
     pub verdict: Verdict,
 }
 
-/// One line of an attempt.
+/// Fields of the log line of a placement.
 #[derive(Debug)]
 pub struct PlacedLine<'a> {
-    /// The caller's name of this sending.
+    /// Identifier that the caller gave to this send of the request.
     pub id: &'a str,
-    /// The target that answers.
+    /// Name of the target that answers.
     pub target: &'a str,
-    /// The targets that help.
+    /// Names of the targets that prefill shards of the prompt.
     pub helpers: &'a [Arc<str>],
-    /// Tokens of the prompt.
+    /// Length of the prompt, in tokens.
     pub prompt: u64,
-    /// Foretold time to the first event.
+    /// Predicted time to the first event.
     pub first: Duration,
-    /// Foretold cost, in short requests.
+    /// Predicted cost, in units of one short request.
     pub cost: f32,
-    /// What others lose by it.
+    /// Delay cost: what other requests lose by this placement.
     pub harm: f32,
-    /// What the request itself loses by coming late.
+    /// Own loss: what the request itself loses by a late answer.
     pub own: f32,
-    /// What requests to come lose by the places and the time of engines that it takes.
+    /// Opportunity cost: what later requests lose by the slots and the engine time that it takes.
     pub claim: f32,
-    /// Targets that were weighed.
+    /// Number of targets that were considered.
     pub candidates: usize,
 }
 
@@ -213,7 +213,7 @@
     left_out: u64,
 }
 
-/// Writes the relay's lines.
+/// Writes the log lines of the relay.
 #[derive(Debug)]
 pub struct DecisionLog {
     logger: Logger,
@@ -222,27 +222,27 @@
 }
 
 impl DecisionLog {
-    /// A log over a logger.
+    /// Creates a log that writes to `log`.
     #[must_use]
     pub fn new(log: StdoutLog) -> Self {
         let StdoutLog { logger, lost_lines } = log;
         DecisionLog { logger, lost_lines, budgets: RefCell::default() }
     }
 
-    /// Lines that standard output did not take.
+    /// Returns the number of lines that could not be written to standard output.
     #[must_use]
     pub fn lost_lines(&self) -> u64 {
         self.lost_lines.load(Ordering::Relaxed)
     }
 
-    /// The logger itself, for lines that are not rationed.
+    /// Returns the logger itself, for lines without a limit on their number.
     pub fn logger(&self) -> &Logger {
         &self.logger
     }
 
-    /// Takes a line from a kind's ration. Returns how many were left out
-    /// before it, none where this one is left out too.
-    fn take_line(&self, kind: &'static str, now: Tick) -> Option<u64> {
+    /// Takes a line from the budget of its kind. Returns the number of lines that were dropped
+    /// before it, `None` if this line has to be dropped too.
+    fn take_from_budget(&self, kind: &'static str, now: Tick) -> Option<u64> {
         const MICROS: u64 = 1_000_000;
         let mut budgets = self.budgets.borrow_mut();
         let budget = budgets.entry(kind).or_default();
@@ -250,7 +250,7 @@
             budget.second = now.0 / MICROS;
             budget.written = 0;
         }
-        if budget.written >= LINES_PER_SECOND {
+        if budget.written >= MAX_LINES_PER_SECOND {
             budget.left_out += 1;
             return None;
         }
@@ -258,7 +258,7 @@
         Some(std::mem::take(&mut budget.left_out))
     }
 
-    /// A request ended.
+    /// Logs the outcome of a request.
     pub fn request_ended(&self, line: &RequestLine<'_>, now: Tick) {
         let kind = match line.end {
             RequestEnd::Answered => "answered",
@@ -266,22 +266,22 @@
             RequestEnd::Failed | RequestEnd::Broken => "failed",
             RequestEnd::CallerLeft => "caller_left",
         };
-        let Some(left_out) = self.take_line(kind, now) else { return };
+        let Some(left_out) = self.take_from_budget(kind, now) else { return };
         info!(self.logger, "request";
             "id" => line.id, "end" => %line.end, "status" => line.status, "why" => line.why,
             "targets" => line.targets, "sends" => line.sends,
             "digest" => line.digest.map(|digest| digest.to_string()),
             "not_sent_again" => line.series_end.map(|end| end.to_string()), "took_ms" => line.took.as_millis() as u64,
-            "first_ms" => line.pace.first.map(|span| span.as_millis() as u64),
+            "first_ms" => line.pace.first.map(|duration| duration.as_millis() as u64),
             "longest_pause_ms" => line.pace.longest_pause.as_millis() as u64,
             "config_version" => line.version,
             "proof_age_ms" => line.proof_age.map(|age| age.as_millis() as u64),
             "left_out" => left_out);
     }
 
-    /// A request was given to targets.
+    /// Logs a placement.
     pub fn placed(&self, line: &PlacedLine<'_>, now: Tick) {
-        let Some(left_out) = self.take_line("placed", now) else { return };
+        let Some(left_out) = self.take_from_budget("placed", now) else { return };
         info!(self.logger, "placed";
             "id" => line.id, "target" => line.target, "helpers" => line.helpers.len(), "helped_by" => line.helpers.join(","),
             "prompt_tokens" => line.prompt, "first_ms" => line.first.as_millis() as u64,
@@ -290,20 +290,20 @@
             "left_out" => left_out);
     }
 
-    /// An attempt failed.
+    /// Logs a failed attempt.
     pub fn attempt_failed(&self, line: &FailedLine<'_>, now: Tick) {
-        let Some(left_out) = self.take_line("attempt_failed", now) else { return };
+        let Some(left_out) = self.take_from_budget("attempt_failed", now) else { return };
         warn!(self.logger, "attempt failed";
             "id" => line.id, "digest" => %line.digest, "target" => line.target,
             "why" => line.why, "verdict" => %line.verdict, "left_out" => left_out);
     }
 
-    /// An answer said something of its target.
+    /// Logs what an answer says of its target.
     pub fn target_noted(&self, target: &str, notice: &TargetNotice, now: Tick) {
-        let Some(left_out) = self.take_line("noted", now) else { return };
-        info!(self.logger, "target says";
+        let Some(left_out) = self.take_from_budget("noted", now) else { return };
+        info!(self.logger, "target notice";
             "target" => target, "is_leaving" => notice.is_leaving,
-            "backoff_ms" => notice.backoff.map(|span| span.as_millis() as u64),
+            "backoff_ms" => notice.backoff.map(|duration| duration.as_millis() as u64),
             "rate" => match notice.rate {
                 RateWord::Silent => None,
                 RateWord::Unreadable => Some("unreadable".to_owned()),
@@ -312,18 +312,18 @@
             "left_out" => left_out);
     }
 
-    /// A target is left alone for a while.
-    pub fn ejected(&self, target: &str, span: Duration) {
+    /// Logs the ejection of a target.
+    pub fn ejected(&self, target: &str, duration: Duration) {
         warn!(self.logger, "target ejected";
-            "target" => target, "for_ms" => span.as_millis() as u64);
+            "target" => target, "for_ms" => duration.as_millis() as u64);
     }
 
-    /// Another configuration is in force.
+    /// Logs that another configuration is in force.
     pub fn config_changed(&self, version: u64) {
         info!(self.logger, "configuration in force"; "config_version" => version);
     }
 
-    /// The proof that the configuration is current lapsed or is back.
+    /// Logs that the configuration is proven current again, or no longer is.
     pub fn proof_changed(&self, is_held: bool, age: Option<Duration>, policy: StalePolicy) {
         let age_ms = age.map(|age| age.as_millis() as u64);
         if is_held {
@@ -334,7 +334,7 @@
         }
     }
 
-    /// The list of targets changed.
+    /// Logs a change of the target list.
     pub fn targets_changed(&self, change: &ListChange) {
         if change.is_empty() {
             return;
@@ -344,76 +344,76 @@
             "restarted" => change.restarted.join(","), "removed" => change.removed.join(","));
     }
 
-    /// Failure domains are taken out of service, or are back.
+    /// Logs a change of the failure domains that are out of service.
     pub fn evacuations_changed<'a>(
         &self,
-        known: &[Arc<str>],
+        before: &[Arc<str>],
         domains: impl Iterator<Item = &'a Arc<str>>,
     ) {
         let domains: Vec<_> = domains.cloned().collect();
-        if known != domains {
+        if before != domains {
             warn!(self.logger, "failure domains out of service";
-                "before" => known.join(","), "now" => domains.join(","));
+                "before" => before.join(","), "now" => domains.join(","));
         }
     }
 
-    /// Entries of the list of targets can not be read.
+    /// Logs entries of the target list that cannot be read.
     pub fn entries_unreadable(&self, entries: &[UnreadableEntry], now: Tick) {
         for entry in entries {
-            let Some(left_out) = self.take_line("unreadable", now) else { continue };
+            let Some(left_out) = self.take_from_budget("unreadable", now) else { continue };
             warn!(self.logger, "entry lists no target";
                 "name" => entry.name.as_deref(), "why" => &entry.why, "left_out" => left_out);
         }
     }
 
-    /// Notes beside the configuration can not be read.
+    /// Logs quarantine records, stored beside the configuration, that cannot be read.
     pub fn notes_unreadable(&self, reasons: &[String], now: Tick) {
-        for why in reasons {
-            let Some(left_out) = self.take_line("note_unreadable", now) else { continue };
+        for reason in reasons {
+            let Some(left_out) = self.take_from_budget("note_unreadable", now) else { continue };
             warn!(self.logger, "note beside the configuration not read";
-                "why" => why, "left_out" => left_out);
+                "why" => reason, "left_out" => left_out);
         }
     }
 
-    /// Targets ended under a request.
-    pub fn suspected(&self, digest: RequestDigest, ends: usize) {
+    /// Logs that targets crashed under a request.
+    pub fn suspected(&self, digest: RequestDigest, crashes: usize) {
         warn!(self.logger, "targets ended under a request";
-            "digest" => %digest, "ends" => ends);
+            "digest" => %digest, "ends" => crashes);
     }
 
-    /// A request is held back from now on.
-    pub fn held_back(&self, digest: RequestDigest, span: Duration) {
+    /// Logs that a request is quarantined from now on.
+    pub fn held_back(&self, digest: RequestDigest, duration: Duration) {
         warn!(self.logger, "request held back";
-            "digest" => %digest, "for_s" => span.as_secs());
+            "digest" => %digest, "for_s" => duration.as_secs());
     }
 
-    /// The host was suspended, and goes on.
-    pub fn resumed(&self, span: Duration) {
-        warn!(self.logger, "host was suspended"; "for_ms" => span.as_millis() as u64);
+    /// Logs that the host resumed after a suspension.
+    pub fn resumed(&self, duration: Duration) {
+        warn!(self.logger, "host was suspended"; "for_ms" => duration.as_millis() as u64);
     }
 
-    /// The store has come back from a copy.
-    pub fn epoch_changed(&self, known: u64, epoch: u64) {
-        warn!(self.logger, "store back from a copy"; "epoch_before" => known, "epoch" => epoch);
+    /// Logs that the store was restored from a backup.
+    pub fn epoch_changed(&self, before: u64, epoch: u64) {
+        warn!(self.logger, "store back from a copy"; "epoch_before" => before, "epoch" => epoch);
     }
 
-    /// The store holds an earlier configuration than the one in force, or no longer does.
+    /// Logs that the store holds an earlier configuration than the one in force, or no longer does.
     pub fn store_behind(&self, is_behind: bool, version: u64) {
         warn!(self.logger, "store holds an earlier configuration";
             "is_behind" => is_behind, "config_version" => version);
     }
 
-    /// This entry begins or ends to watch the list of targets for others.
+    /// Logs that this entry starts or stops watching the target list for other entries.
     pub fn watching_changed(&self, is_watching: bool) {
         info!(self.logger, "list watch"; "is_watching" => is_watching);
     }
 
-    /// A dependency was lost or is back.
-    pub fn dependency(&self, name: &str, is_there: bool, why: &str) {
-        if is_there {
+    /// Logs that a dependency was lost or is available again.
+    pub fn dependency(&self, name: &str, is_available: bool, reason: &str) {
+        if is_available {
             info!(self.logger, "dependency regained"; "name" => name);
         } else {
-            warn!(self.logger, "dependency lost"; "name" => name, "why" => why);
+            warn!(self.logger, "dependency lost"; "name" => name, "why" => reason);
         }
     }
 }
--- a/src/relay/server.rs
+++ b/src/relay/server.rs
@@ -1,4 +1,4 @@
-//! The relay of one entry: its sockets, timers and signals round the core.
+//! The relay process of one entry: sockets, timers and signals around the core.
 
 use std::cell::{Cell, RefCell};
 use std::convert::Infallible;
@@ -39,30 +39,30 @@
 
 const MICROS_PER_MS: u64 = 1_000;
 
-/// How often kept connections and missing targets are looked through.
-const SWEEP_STEP: Duration = Duration::from_millis(250);
+/// Interval at which kept connections and missing targets are checked for expiry.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How often the settings file is looked at.
-const SETTINGS_STEP: Duration = Duration::from_secs(5);
+/// Interval at which the settings file is read again.
+const SETTINGS_INTERVAL: Duration = Duration::from_secs(5);
 
-/// How often a stopping process looks whether it may end.
-const STOP_STEP: Duration = Duration::from_millis(50);
+/// Interval at which a stopping process checks whether it may exit.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How callers, targets and the platform's store are spoken to.
+/// Protocols that the platform defines for callers, targets and its store.
 pub struct RelayAdapter {
-    /// Callers.
+    /// Protocol of the callers.
     pub callers: CallerDialect,
-    /// Targets.
+    /// Protocol of the targets.
     pub targets: TargetDialect,
-    /// The store.
+    /// Source of the configuration and the target list: the platform's store.
     pub feed: PlatformFeed,
 }
 
-/// Runs the relay until `stop` ends, and then until its requests have ended.
+/// Runs the relay until `stop` completes, and then until its open requests have ended.
 ///
 /// # Errors
 ///
-/// The settings file is not right, or an address can not be listened on.
+/// Returns an error if the settings file is invalid or an address cannot be bound.
 pub async fn run_relay(
     file: SettingsFile,
     adapter: impl FnOnce(&RelaySettings) -> RelayAdapter,
@@ -85,7 +85,7 @@
     let readiness = TcpListener::bind(settings.readiness_listen).await?;
     let metrics = TcpListener::bind(settings.metrics_listen).await?;
     let link = LoadLink::bind(settings.load_listen).await?;
-    let copies = TcpListener::bind(link.address()).await?;
+    let config_copies = TcpListener::bind(link.address()).await?;
     let limits = settings.to_limits();
     slog::info!(log.logger, "start"; "listen" => %settings.listen, "version" => env!("CARGO_PKG_VERSION"));
     let shared = Rc::new(RelayShared {
@@ -122,64 +122,68 @@
     tokio::task::spawn_local(follow_quarantine(shared.clone(), feed.clone()));
     tokio::task::spawn_local(follow_targets(shared.clone(), feed));
     tokio::task::spawn_local(accept_callers(shared.clone(), callers, closing));
-    tokio::task::spawn_local(accept_paths(shared.clone(), readiness, answer_status));
-    tokio::task::spawn_local(accept_paths(shared.clone(), metrics, answer_status));
-    tokio::task::spawn_local(accept_paths(shared.clone(), copies, answer_copy));
+    tokio::task::spawn_local(serve_paths(shared.clone(), readiness, answer_status));
+    tokio::task::spawn_local(serve_paths(shared.clone(), metrics, answer_status));
+    tokio::task::spawn_local(serve_paths(shared.clone(), config_copies, answer_copy));
     tokio::task::spawn_local(sweep(shared.clone()));
     tokio::task::spawn_local(super::peers::receive::receive(shared.clone()));
     let stop_limit = settings.stop_limit();
-    tokio::task::spawn_local(follow_settings(shared.clone(), file, settings));
+    tokio::task::spawn_local(reload_settings(shared.clone(), file, settings));
     stop.await;
     drain(&shared, stop_limit, &close).await;
     Ok(())
 }
 
-/// Reads the settings file again when the process is told to, and from time to
-/// time: it may also change without a word. What can not change while the
-/// process runs is left as it was, and said so.
-async fn follow_settings(shared: Rc<RelayShared>, file: SettingsFile, settings: RelaySettings) {
+/// Reads the settings file again on each reload signal and at an interval, since the file may
+/// also change without a signal. Settings that cannot change while the process runs keep their
+/// values, and the log line names those that were applied.
+async fn reload_settings(shared: Rc<RelayShared>, file: SettingsFile, settings: RelaySettings) {
     let current = RefCell::new(settings);
-    let reload = |is_told: bool| match file.read() {
+    let reload = |is_requested: bool| match file.read() {
         Ok(settings) if settings != *current.borrow() => {
             shared.core.borrow_mut().set_limits(settings.to_limits());
             slog::info!(shared.log.logger(), "settings reloaded";
                 "applied" => "regions, revoke_ms, evacuate_ms, warmup_overrun, warmup_slack, fail_closed, drain_ms, store_history_s, retry_ratio, retry_slack, retry_window_s");
             *current.borrow_mut() = settings;
         }
-        Ok(_) if is_told => slog::info!(shared.log.logger(), "settings reloaded, none changed"),
+        Ok(_) if is_requested => {
+            slog::info!(shared.log.logger(), "settings reloaded, none changed")
+        }
         Ok(_) => {}
-        Err(error) => slog::warn!(shared.log.logger(), "settings not reloaded, the old ones hold";
-            "error" => %error),
+        Err(error) => {
+            slog::warn!(shared.log.logger(), "settings not reloaded, keeping the previous ones";
+            "error" => %error)
+        }
     };
     let timed = async {
         loop {
-            tokio::time::sleep(SETTINGS_STEP).await;
+            tokio::time::sleep(SETTINGS_INTERVAL).await;
             reload(false);
         }
     };
     tokio::join!(on_reload_signal(|| reload(true)), timed);
 }
 
-/// A planned stop: callers are sent elsewhere, what is open goes on.
+/// Carries out a planned stop: callers are directed to other entries, open requests continue.
 async fn drain(shared: &RelayShared, limit: Duration, close: &watch::Sender<bool>) {
-    let begin = shared.now();
+    let started_at = shared.now();
     shared.is_stopping.set(true);
     slog::info!(shared.log.logger(), "stop begun"; "open" => shared.open.get());
     let plan = StopPlan::new(limit);
     loop {
-        tokio::time::sleep(STOP_STEP).await;
-        match plan.phase(shared.now().since(begin), shared.open.get()) {
+        tokio::time::sleep(STOP_CHECK_INTERVAL).await;
+        match plan.phase(shared.now().since(started_at), shared.open.get()) {
             StopPhase::Serving => {}
             StopPhase::Finishing => shared.is_closed_to_new.set(true),
             StopPhase::Ended => break,
         }
     }
     shared.is_closed_to_new.set(true);
-    // Nobody is left who would not want to be told.
+    // No new request is served from here on, so closing the connections disturbs no caller.
     close.send_replace(true);
-    tokio::time::sleep(STOP_STEP).await;
+    tokio::time::sleep(STOP_CHECK_INTERVAL).await;
     slog::info!(shared.log.logger(), "stop"; "open" => shared.open.get());
-    tokio::time::sleep(STOP_STEP).await;
+    tokio::time::sleep(STOP_CHECK_INTERVAL).await;
 }
 
 async fn accept_callers(
@@ -200,7 +204,7 @@
     mut closing: watch::Receiver<bool>,
 ) {
     if let Err(error) = stream.set_nodelay(true) {
-        slog::debug!(shared.log.logger(), "no delay not set"; "error" => %error);
+        slog::debug!(shared.log.logger(), "TCP_NODELAY not set"; "error" => %error);
     }
     let limits = shared.core.borrow().rules().limits();
     let service_shared = shared.clone();
@@ -208,41 +212,41 @@
         let shared = service_shared.clone();
         async move { Ok::<_, Infallible>(serve(shared, request).await) }
     });
-    // The time for a head includes the rest between two requests, which
-    // callers may use up.
+    // The timeout for a head includes the idle time between two requests, which callers may
+    // use in full.
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(limits.idle_limit)
-        .max_buf_size(limits.max_head.max(MIN_BUFFER))
+        .max_buf_size(limits.max_head.max(MIN_BUFFER_SIZE))
         .serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
     loop {
         tokio::select! {
-            // How a connection ends is the caller's affair: its requests have
-            // answers of their own.
+            // The end of a connection concerns the caller only: the outcome of each of its
+            // requests is recorded separately.
             _ = connection.as_mut() => return,
             _ = closing.changed() => connection.as_mut().graceful_shutdown(),
         }
     }
 }
 
-/// Smallest buffer of a connection.
-const MIN_BUFFER: usize = 8 * 1024;
+/// Smallest read buffer of a connection, in bytes.
+const MIN_BUFFER_SIZE: usize = 8 * 1024;
 
-/// What is answered to a request for a path.
-type PathAnswer = fn(&RelayShared, &str) -> Response<Full<Bytes>>;
+/// Answers a request for a path.
+type PathHandler = fn(&RelayShared, &str) -> Response<Full<Bytes>>;
 
-/// Answers the balancer, whoever reads metrics, and other entries.
-async fn accept_paths(shared: Rc<RelayShared>, listener: TcpListener, answer: PathAnswer) {
+/// Accepts connections of the balancer, of metrics scrapers or of other entries.
+async fn serve_paths(shared: Rc<RelayShared>, listener: TcpListener, handler: PathHandler) {
     loop {
         let stream = accept_next(&listener).await;
         let shared = shared.clone();
         tokio::task::spawn_local(async move {
             let service = service_fn(move |request: hyper::Request<hyper::body::Incoming>| {
-                let answer = answer(&shared, request.uri().path());
+                let answer = handler(&shared, request.uri().path());
                 async move { Ok::<_, Infallible>(answer) }
             });
-            // The one who asked sees how it ended.
+            // The peer notices a failure of its connection itself.
             drop(
                 http1::Builder::new()
                     .timer(TokioTimer::new())
@@ -271,14 +275,14 @@
     response
 }
 
-/// Closes what rested too long, and forgets what did not come back.
+/// Closes connections that were idle for too long, and removes targets that did not come back.
 async fn sweep(shared: Rc<RelayShared>) {
     let mut was_held = false;
-    let mut watch = SuspensionWatch::new();
+    let mut suspensions = SuspensionWatch::new();
     loop {
-        tokio::time::sleep(SWEEP_STEP).await;
-        if let Some(span) = watch.look() {
-            shared.note_resumed(span);
+        tokio::time::sleep(SWEEP_INTERVAL).await;
+        if let Some(duration) = suspensions.look() {
+            shared.note_resumed(duration);
         }
         let now = shared.now();
         shared.pool.borrow_mut().expire(now);
@@ -293,8 +297,7 @@
     }
 }
 
-/// Says where the proof of the configuration lapsed or is back. Returns whether
-/// it is held.
+/// Logs when the proof of the configuration lapses or is renewed. Returns whether it is held.
 fn log_proof(shared: &RelayShared, was_held: bool, now: Tick) -> bool {
     let core = shared.core.borrow();
     let is_held = core.lease().is_held(now);
--- a/src/relay/settings.rs
+++ b/src/relay/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files of the relay's programs: TOML, checked when read.
+//! Settings files of the relay's programs, in TOML. They are validated when they are read.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,56 +16,56 @@
 use super::discovery::freshness::StalePolicy;
 use crate::error::{Error, Result};
 
-/// Settings of an entry that relays.
+/// Settings of an entry that relays requests directly to targets.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RelaySettings {
     /// Name of this process.
     pub name: Arc<str>,
-    /// Failure domain of its host.
+    /// Failure domain of the host of this process.
     pub failure_domain: Arc<str>,
-    /// Region of each failure domain.
+    /// Region of each failure domain, by the domain's name.
     #[serde(default)]
     pub regions: BTreeMap<Arc<str>, Arc<str>>,
     /// Address for callers.
     pub listen: SocketAddr,
-    /// Address for the balancer's questions.
+    /// Address for the balancer's readiness checks.
     pub readiness_listen: SocketAddr,
     /// Address for metrics.
     pub metrics_listen: SocketAddr,
-    /// Address for notes of agents; they use the same port.
+    /// Address for messages from agents, which use the same port.
     pub load_listen: SocketAddr,
     /// Address of the platform's store.
     pub store: SocketAddr,
     /// Longest time between the removal of a key and its last use, in ms.
     pub revoke_ms: u64,
-    /// Longest time in which the targets of a failure domain that is taken out of service may
-    /// still get requests, in ms; left out where the platform takes none out.
+    /// Longest time during which the targets of an evacuated failure domain may still get
+    /// requests, in ms. Omitted if the platform never evacuates a domain.
     #[serde(default)]
     pub evacuate_ms: Option<u64>,
-    /// Factor to the rate that services declare for cold targets, over all entries.
+    /// Factor on the rate that services declare for cold targets, over all entries.
     #[serde(default = "declared")]
     pub warmup_overrun: f64,
-    /// Requests that cold targets may get in each second beside that.
+    /// Requests per second that cold targets may get in addition.
     #[serde(default)]
     pub warmup_slack: f64,
-    /// True where nobody who needs a key is let in while the configuration can
-    /// not be proven current; else the last proven one is served on with.
+    /// If `true`, requests that need a key are refused while the configuration cannot be proven
+    /// current. Otherwise they are served by the last proven configuration.
     pub fail_closed: bool,
-    /// Longest time in which a target that is leaving may still get requests,
-    /// from when the platform's store says so, in ms.
+    /// Longest time during which a target that is leaving may still get requests, from the moment
+    /// at which the platform's store says so, in ms.
     pub drain_ms: u64,
-    /// How long the platform's store remembers what changed, in seconds.
+    /// How long the platform's store keeps its history of changes, in seconds.
     pub store_history_s: f64,
-    /// Second attempts for each request, over all entries.
+    /// Retries per request, over all entries.
     pub retry_ratio: f64,
-    /// Second attempts in each window beside that, over all entries.
+    /// Retries per window in addition to that, over all entries.
     pub retry_slack: f64,
     /// Length of that window, in seconds.
     pub retry_window_s: u64,
     /// Longest planned stop, in seconds.
     pub stop_s: f64,
-    /// What is weighed when it decides, where it differs from the defaults.
+    /// Settings of the placement of requests that differ from the defaults.
     #[serde(default)]
     pub policy: RelayPolicy,
 }
@@ -74,27 +74,27 @@
     WarmupBound::default().overrun
 }
 
-/// Settings of an agent that advises entries.
+/// Settings of an agent that runs as load coordinator.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AdviserSettings {
     /// Name of this process.
     pub name: Arc<str>,
-    /// Address for notes of entries.
+    /// Address for messages from entries.
     pub load_listen: SocketAddr,
-    /// The engine beside it.
+    /// Address of the engine on the same host.
     pub target: SocketAddr,
 }
 
 impl RelaySettings {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
     ///
-    /// The file can not be read, has an unknown field or a value out of range.
+    /// Returns an error if the file cannot be read, has an unknown field or a value out of range.
     pub fn from_file(path: &Path) -> Result<Self> {
         let settings: RelaySettings = from_file(path)?;
-        let has_order = settings.retry_ratio >= 0.0
+        let is_valid = settings.retry_ratio >= 0.0
             && settings.retry_slack >= 0.0
             && settings.retry_window_s > 0
             && settings.stop_s > 0.0
@@ -104,17 +104,17 @@
             && settings.warmup_slack >= 0.0
             && settings.drain_ms > 0
             && settings.store_history_s > 0.0;
-        if has_order {
+        if is_valid {
             settings.policy.check()?;
             return Ok(settings);
         }
         Err(Error::settings(
             "retry_window_s, stop_s, revoke_ms, evacuate_ms, drain_ms and store_history_s must be \
-             above zero, retry_ratio, retry_slack, warmup_overrun and warmup_slack not below",
+             above zero; retry_ratio, retry_slack, warmup_overrun and warmup_slack must not be negative",
         ))
     }
 
-    /// The limits that may change while the process runs.
+    /// Returns the limits, which may change while the process runs.
     #[must_use]
     pub fn to_limits(&self) -> RelayLimits {
         RelayLimits {
@@ -135,19 +135,19 @@
         }
     }
 
-    /// Longest time between the removal of a key and its last use.
+    /// Returns the longest time between the removal of a key and its last use.
     #[must_use]
     pub fn revoke_bound(&self) -> Duration {
         Duration::from_millis(self.revoke_ms)
     }
 
-    /// What is done while the configuration can not be proven current.
+    /// Returns the policy while the configuration cannot be proven current.
     #[must_use]
     pub fn stale_policy(&self) -> StalePolicy {
         if self.fail_closed { StalePolicy::FailClosed } else { StalePolicy::FailOpen }
     }
 
-    /// Longest planned stop.
+    /// Returns the duration of the longest planned stop.
     #[must_use]
     pub fn stop_limit(&self) -> Duration {
         Duration::from_secs_f64(self.stop_s)
@@ -155,11 +155,11 @@
 }
 
 impl AdviserSettings {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
     ///
-    /// The file can not be read, or has an unknown field.
+    /// Returns an error if the file cannot be read or has an unknown field.
     pub fn from_file(path: &Path) -> Result<Self> {
         from_file(path)
     }
@@ -172,13 +172,13 @@
 }
 
 impl SettingsFile {
-    /// A file at `path`.
+    /// Creates a reader of the settings file at `path`.
     #[must_use]
     pub fn new(path: PathBuf) -> Self {
         SettingsFile { path }
     }
 
-    /// Reads and checks the file.
+    /// Reads and validates the file.
     ///
     /// # Errors
     ///
--- a/src/relay/shared.rs
+++ b/src/relay/shared.rs
@@ -1,4 +1,4 @@
-//! State that the tasks of one entry share.
+//! State shared by the tasks of one entry.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -26,10 +26,11 @@
 use crate::clock::ProcessClock;
 use crate::time::Tick;
 
-/// Time after a failed store call for which lapsed entries may come back.
-const AWAY_SPAN: Duration = Duration::from_secs(3);
+/// Time after a failed call to the store during which lapsed entries of the target list may come
+/// back.
+const RECOVERY_WINDOW: Duration = Duration::from_secs(3);
 
-/// What all requests of a process share.
+/// State shared by all requests and background tasks of a process.
 pub(crate) struct RelayShared {
     pub(crate) core: RefCell<RelayCore>,
     pub(crate) pool: RefCell<ConnectionPool>,
@@ -40,30 +41,30 @@
     pub(crate) is_stopping: Cell<bool>,
     pub(crate) is_closed_to_new: Cell<bool>,
     pub(crate) away_at: Cell<Option<Tick>>,
-    /// How far the start of this process is.
+    /// Phase of the start of this process.
     pub(crate) start: watch::Sender<StartPhase>,
-    /// Counts the times that the store came back.
+    /// Counts the times that the store became reachable again.
     pub(crate) outages: watch::Sender<u64>,
-    /// Told by the watch of the configuration, with news or at its end.
+    /// Notified by the watch of the configuration, on an update or at its end.
     pub(crate) config_changed: Notify,
-    /// The newest change that it told of and that was not taken yet.
+    /// The newest update from that watch that has not been applied yet.
     pub(crate) config_news: RefCell<Option<Box<ConfigNews>>>,
-    /// Told when the list is to be read, or this entry begins or ends to watch it.
+    /// Notified when the list has to be read, or when this entry starts or stops watching it.
     pub(crate) list_due: Notify,
-    /// What its last answer was worth.
+    /// Verdict on the last proof received from another entry.
     pub(crate) peer_verdict: Cell<PeerVerdict>,
-    /// Told when another entry has answered for its proof.
+    /// Notified when another entry has answered a request for its proof.
     pub(crate) proof_told: Notify,
-    /// Lives of targets that are looked at for their end.
+    /// Target instances that are currently checked for a crash.
     pub(crate) end_checks: RefCell<HashSet<TargetLife>>,
-    /// Counts the times that the host went on after it was suspended.
+    /// Counts the resumptions of the host after a suspension.
     pub(crate) resumes: watch::Sender<u64>,
-    /// Told when the store is to keep that a request is held back.
+    /// Notified when the store has to record that a request is quarantined.
     pub(crate) quarantine_due: Notify,
     pub(crate) link: LoadLink,
     pub(crate) orders: HttpClient,
     pub(crate) order_number: Cell<u32>,
-    /// Questions for permits that wait for an answer.
+    /// Requests for permits that wait for an answer, by their nonce.
     pub(crate) permit_asks: RefCell<HashMap<u64, oneshot::Sender<PermitReply>>>,
     pub(crate) clock: ProcessClock,
     pub(crate) open: Cell<usize>,
@@ -83,69 +84,69 @@
         core.targets.get(target).map_or(Duration::ZERO, |target| target.silence(self.now()))
     }
 
-    /// Takes what an answer says of the target that gave it, to a request that was sent at
-    /// `sent_at`; none where what it leaves out says nothing.
+    /// Applies what an answer says of the target that gave it, to a request sent at `sent_at`.
+    /// With `None` for `sent_at`, an answer without a rate says nothing.
     pub(crate) fn take_notice(
         &self,
-        life: Option<&TargetLife>,
+        instance: Option<&TargetLife>,
         notice: &TargetNotice,
         sent_at: Option<Tick>,
     ) {
-        let Some(life) = life else { return };
+        let Some(instance) = instance else { return };
         let now = self.now();
         if !notice.is_empty() {
-            self.log.target_noted(&life.incarnation, notice, now);
+            self.log.target_noted(&instance.incarnation, notice, now);
             self.counts.borrow().note_notice(notice);
         }
         let mut core = self.core.borrow_mut();
-        core.take_notice(life, notice, now);
-        core.take_rate(life, notice.rate, sent_at, now);
+        core.take_notice(instance, notice, now);
+        core.take_rate(instance, notice.rate, sent_at, now);
     }
 
-    /// Gives an agent's answer to the request that asked for it, unless it waits no more.
+    /// Passes an agent's answer to the waiting request, unless that no longer waits.
     pub(crate) fn take_permit_reply(&self, nonce: u64, reply: PermitReply) {
-        if let Some(asker) = self.permit_asks.borrow_mut().remove(&nonce) {
-            let _ = asker.send(reply);
+        if let Some(waiter) = self.permit_asks.borrow_mut().remove(&nonce) {
+            let _ = waiter.send(reply);
         }
     }
 
-    /// Waits for something until a tick, none where that comes first. Timers stand still
-    /// while the host is suspended, so the clock is looked at again when it goes on.
+    /// Runs `work` until a tick, `None` if the tick comes first. Timers stand still while the host
+    /// is suspended, so the clock is read again when the host resumes.
     pub(crate) async fn until<T>(&self, tick: Tick, work: impl Future<Output = T>) -> Option<T> {
         let mut resumes = self.resumes.subscribe();
         tokio::pin!(work);
         loop {
             let left = tick.since(self.now());
             tokio::select! {
-                done = &mut work => return Some(done),
+                output = &mut work => return Some(output),
                 () = tokio::time::sleep(left) => return None,
                 _ = resumes.changed() => {}
             }
         }
     }
 
-    /// Notes that the host was suspended: connections to the store may hang, and what was
-    /// proven may be too old.
-    pub(crate) fn note_resumed(&self, span: Duration) {
-        self.log.resumed(span);
+    /// Handles a resumption of the host after a suspension. Connections to the store may hang, and
+    /// proofs may have lapsed.
+    pub(crate) fn note_resumed(&self, duration: Duration) {
+        self.log.resumed(duration);
         self.resumes.send_modify(|count| *count += 1);
         self.outages.send_modify(|count| *count += 1);
         self.config_changed.notify_one();
     }
 
-    /// Notes the epoch that an answer of the store names. Where the store has come back from
-    /// a copy, all that was read of it is read anew: its revisions are given out again.
+    /// Records the epoch that an answer of the store names. If the store has been restored from a
+    /// backup, everything is read again, since the store gives out the same revisions again.
     pub(crate) fn note_epoch(&self, epoch: u64) {
-        let known = self.core.borrow_mut().note_epoch(epoch);
-        let Some(known) = known else { return };
-        self.log.epoch_changed(known, epoch);
-        // What targets wrote since that copy is written again within some time.
+        let before = self.core.borrow_mut().note_epoch(epoch);
+        let Some(before) = before else { return };
+        self.log.epoch_changed(before, epoch);
+        // What targets wrote after that backup is written again within some time.
         self.away_at.set(Some(self.now()));
         self.outages.send_modify(|count| *count += 1);
         self.config_changed.notify_one();
     }
 
-    /// Takes a read of the configuration that was sent at `sent_at`.
+    /// Applies a read of the configuration that was sent at `sent_at`.
     pub(crate) fn take_read(&self, read: ConfigRead, sent_at: Tick) {
         self.log.notes_unreadable(&read.unreadable, self.now());
         let mut core = self.core.borrow_mut();
@@ -158,60 +159,60 @@
         }
     }
 
-    /// Takes the answer of another entry that was asked for its proof.
+    /// Applies another entry's answer to a request for its proof.
     pub(crate) fn take_proof(&self, proof: &PeerProof) {
         let now = self.now();
         let mut core = self.core.borrow_mut();
-        let known: Vec<_> = core.evacuated().cloned().collect();
+        let before: Vec<_> = core.evacuated().cloned().collect();
         let verdict = core.take_proof(proof, now);
-        self.log.evacuations_changed(&known, core.evacuated());
+        self.log.evacuations_changed(&before, core.evacuated());
         if verdict != PeerVerdict::Useless {
             self.peer_verdict.set(verdict);
             self.proof_told.notify_one();
         }
     }
 
-    /// Takes a read of the failure domains that are out of service, sent at `sent_at`.
+    /// Applies a read, sent at `sent_at`, of the failure domains that are out of service.
     pub(crate) fn take_evacuations(&self, list: EvacuationList, sent_at: Tick) {
         let mut core = self.core.borrow_mut();
-        let known: Vec<_> = core.evacuated().cloned().collect();
+        let before: Vec<_> = core.evacuated().cloned().collect();
         core.take_evacuations(list, sent_at, self.now());
-        self.log.evacuations_changed(&known, core.evacuated());
+        self.log.evacuations_changed(&before, core.evacuated());
     }
 
-    /// Returns true where a configuration is known and no change of it was missed.
+    /// Returns `true` if a configuration is known and no change of it was missed.
     pub(crate) fn knows_config(&self, now: Tick) -> bool {
         let core = self.core.borrow();
         !core.config_revision().is_unknown() && !core.is_config_behind(now)
     }
 
-    /// A number that no other order of this process has.
+    /// Returns a number that is unique among the memory reservations of this process.
     pub(crate) fn next_order(&self) -> u32 {
         let number = self.order_number.get();
         self.order_number.set(number.wrapping_add(1));
         number
     }
 
-    /// Sends what the core has to tell agents.
+    /// Sends the messages that the core has for agents.
     pub(crate) fn send_notes(&self) {
         let mut core = self.core.borrow_mut();
-        for note in core.take_notes() {
-            if let LoadNote::Suspected(news) = &note {
-                self.log.suspected(news.digest, news.lives.len());
+        for message in core.take_notes() {
+            if let LoadNote::Suspected(report) = &message {
+                self.log.suspected(report.digest, report.lives.len());
             }
-            self.link.send(&core, &note);
+            self.link.send(&core, &message);
         }
     }
 
-    /// Sends what the core has to tell of requests that end targets, and says what it
-    /// found.
+    /// Sends reports of requests that crash targets, and logs those that are quarantined from now
+    /// on.
     pub(crate) fn tell_suspects(&self) {
         self.send_notes();
         let now = self.now();
         let mut core = self.core.borrow_mut();
         for digest in core.decide_holds(now) {
-            if let Some(span) = core.quarantine().holds().held_for(&digest, now) {
-                self.log.held_back(digest, span);
+            if let Some(duration) = core.quarantine().holds().held_for(&digest, now) {
+                self.log.held_back(digest, duration);
             }
         }
         if core.quarantine().holds().write_due().is_some() {
@@ -219,43 +220,43 @@
         }
     }
 
-    /// Tells requests that wait for it that this process has started, where it has.
+    /// Releases the requests that wait for the start of this process, if it has started.
     pub(crate) fn note_started(&self) {
         if self.core.borrow().has_started() {
             self.start.send_replace(StartPhase::Over);
         }
     }
 
-    /// Tells requests that wait for a start that the store does not answer.
+    /// Releases the requests that wait for the start, since the store does not answer.
     pub(crate) fn note_turned_away(&self) {
         self.start.send_replace(StartPhase::Over);
     }
 
-    /// Waits where this process has just started and knows no configuration or target.
+    /// Waits for the start if this process has just started and has no configuration or targets.
     pub(crate) async fn wait_for_start(&self) {
         let phase = *self.start.borrow();
-        let wait = start_wait(phase, self.now().since(Tick::default()));
-        if wait.is_zero() {
+        let timeout = start_wait(phase, self.now().since(Tick::default()));
+        if timeout.is_zero() {
             return;
         }
         let mut start = self.start.subscribe();
-        // What became of it is seen by the request.
-        drop(tokio::time::timeout(wait, start.wait_for(|phase| phase.is_over())).await);
+        // The request itself checks the outcome of the start.
+        drop(tokio::time::timeout(timeout, start.wait_for(|phase| phase.is_over())).await);
     }
 
-    /// Longest wait of one watch of the store.
+    /// Returns the longest wait of one watch of the store.
     pub(crate) fn watch_wait(&self) -> Duration {
         watch_wait(self.core.borrow().limits().store_history)
     }
 
-    /// Returns true where entries of the target list may have lapsed because
-    /// the store was away.
+    /// Returns `true` if entries of the target list may have lapsed because the store was
+    /// unreachable.
     pub(crate) fn was_away(&self, now: Tick) -> bool {
-        self.away_at.get().is_some_and(|at| now.since(at) < AWAY_SPAN)
+        self.away_at.get().is_some_and(|at| now.since(at) < RECOVERY_WINDOW)
     }
 }
 
-/// Counts a request as open while its answer is not whole.
+/// Counts a request as open until its answer is complete.
 pub(crate) struct OpenRequest(Rc<RelayShared>);
 
 impl OpenRequest {
--- a/src/relay/stop.rs
+++ b/src/relay/stop.rs
@@ -2,48 +2,48 @@
 
 use std::time::Duration;
 
-/// Time from the beginning of a stop in which new requests are served: the
-/// balancer needs two seconds to send callers elsewhere, and a request that
-/// comes later than three must not be taken and then cut by the stop's end.
-const SERVES: Duration = Duration::from_millis(2_800);
+/// Time from the start of a stop during which new requests are served. The balancer needs two
+/// seconds to direct callers to other entries. A request that arrives after three seconds must
+/// not be accepted, since the end of the stop would cut it off.
+const SERVE_DURATION: Duration = Duration::from_millis(2_800);
 
-/// Time within which the balancer has certainly sent callers elsewhere.
-const BALANCER_LAG: Duration = Duration::from_millis(2_600);
+/// Time after which the balancer directs all callers to other entries, with a margin.
+const BALANCER_DELAY: Duration = Duration::from_millis(2_600);
 
-/// Time of a stop that is kept back from the platform's limit.
-const MARGIN: Duration = Duration::from_millis(700);
+/// Margin by which a stop ends before the platform's limit.
+const STOP_MARGIN: Duration = Duration::from_millis(700);
 
-/// What a stopping process does.
+/// Phase of a planned stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopPhase {
-    /// Serves what still comes.
+    /// New requests are served.
     Serving,
-    /// Refuses what comes, and finishes what it has.
+    /// New requests are refused, and open requests are finished.
     Finishing,
-    /// Ends.
+    /// The process exits.
     Ended,
 }
 
-/// How a stop goes on, by the platform's limit on it.
+/// Schedule of a planned stop within the platform's time limit.
 #[derive(Clone, Copy, Debug)]
 pub struct StopPlan {
     limit: Duration,
 }
 
 impl StopPlan {
-    /// A stop that is cut by the platform after `limit`.
+    /// Creates the schedule of a stop that the platform cuts off after `limit`.
     #[must_use]
     pub fn new(limit: Duration) -> Self {
         StopPlan { limit }
     }
 
-    /// The phase at `spent` after its beginning, with so many open requests.
+    /// Returns the phase at `elapsed` after the start, with `open` requests still open.
     #[must_use]
-    pub fn phase(&self, spent: Duration, open: usize) -> StopPhase {
-        let is_idle = open == 0 && spent >= BALANCER_LAG;
-        if is_idle || spent + MARGIN >= self.limit {
+    pub fn phase(&self, elapsed: Duration, open: usize) -> StopPhase {
+        let is_idle = open == 0 && elapsed >= BALANCER_DELAY;
+        if is_idle || elapsed + STOP_MARGIN >= self.limit {
             StopPhase::Ended
-        } else if spent >= SERVES {
+        } else if elapsed >= SERVE_DURATION {
             StopPhase::Finishing
         } else {
             StopPhase::Serving
