--- a/tests/relay/restored_store.rs
+++ b/tests/relay/restored_store.rs
@@ -1,5 +1,5 @@
-//! A store that is back from an old copy gives out its revisions again. What compares them has
-//! to know in which epoch of the store each was given out.
+//! A store that was restored from a backup gives out the same revision numbers again, so each
+//! comparison of revisions has to include the epoch of the store.
 
 use shalelane::relay::core::RelayCore;
 use shalelane::relay::decide::hold_list::QuarantineRecord;
@@ -40,23 +40,23 @@
     ConfigCopy::from_bytes(&bytes).unwrap()
 }
 
-/// What a proof of a revision is worth to an entry that has another one.
-fn verdict(own: StoreRevision, told: StoreRevision) -> PeerVerdict {
-    let mut share = ProofShare::default();
-    share.note_source(([10, 0, 0, 1], 80).into(), at(9_000));
-    share.ask(7, at(1_000), at(9_500)).unwrap();
+/// Verdict of an entry at revision `known` on a proof of revision `proven`.
+fn verdict(known: StoreRevision, proven: StoreRevision) -> PeerVerdict {
+    let mut sync = ProofShare::default();
+    sync.note_source(([10, 0, 0, 1], 80).into(), at(9_000));
+    sync.ask(7, at(1_000), at(9_500)).unwrap();
     let proof = PeerProof {
         nonce: 7,
-        revision: told,
+        revision: proven,
         config_digest: 0,
         age: ms(100),
         evacuated: Vec::new(),
     };
-    share.take_answer(&proof, own)
+    sync.take_answer(&proof, known)
 }
 
 #[test]
-fn proofs_of_the_last_epoch_prove_nothing_in_this_one() {
+fn proofs_of_the_previous_epoch_are_useless() {
     assert_eq!(verdict(after(5), before(9)), PeerVerdict::Useless);
     assert_eq!(verdict(after(5), before(4)), PeerVerdict::Useless);
     assert_eq!(verdict(after(5), before(5)), PeerVerdict::Useless);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn copies_are_taken_from_the_next_epoch_and_not_from_the_last() {
+fn copies_of_the_previous_epoch_are_rejected() {
     let (mut old, mut new) = (core_at(before(9), 3), core_at(after(5), 4));
     assert!(!new.take_copy(&copy_of(&old), at(2_000)));
     assert_eq!((new.config_revision().epoch, new.config_revision().number), (2, 5));
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn the_known_revision_goes_back_with_the_store_and_not_without_it() {
+fn the_revision_number_decreases_only_with_a_new_epoch() {
     let mut core = core_at(before(9), 3);
     core.set_config_revision(after(5));
     assert_eq!((core.config_revision().epoch, core.config_revision().number), (2, 5));
@@ -88,45 +88,45 @@
     assert_eq!((core.config_revision().epoch, core.config_revision().number), (2, 5));
 }
 
-fn news(since: StoreRevision, mark: StoreRevision) -> ListNews {
+fn update(since: StoreRevision, mark: StoreRevision) -> ListNews {
     ListNews { since, mark, age_ms: 0, changes: Vec::new() }
 }
 
-fn share_at(mark: StoreRevision) -> ListShare {
-    let mut share = ListShare::default();
-    share.note_list(mark, mark);
-    share
+fn sync_at(revision: StoreRevision) -> ListShare {
+    let mut sync = ListShare::default();
+    sync.note_list(revision, revision);
+    sync
 }
 
 #[test]
-fn the_mark_of_the_list_goes_back_with_the_store() {
-    let mut share = share_at(before(90));
-    share.note_list(after(60), after(55));
-    assert_eq!((share.mark().epoch, share.mark().number), (2, 55));
+fn the_list_revision_number_decreases_with_a_new_epoch() {
+    let mut sync = sync_at(before(90));
+    sync.note_list(after(60), after(55));
+    assert_eq!((sync.mark().epoch, sync.mark().number), (2, 55));
 }
 
 #[test]
-fn news_lead_from_a_mark_to_a_mark_of_the_same_epoch() {
-    let mut share = share_at(before(90));
-    assert_eq!(share.take_news(&news(after(50), after(60)), at(0)), NewsVerdict::Gap);
-    assert_eq!(share.take_news(&news(before(80), after(60)), at(0)), NewsVerdict::Gap);
-    let mut share = share_at(after(60));
-    assert_eq!(share.take_news(&news(before(90), before(95)), at(0)), NewsVerdict::Known);
-    assert_eq!(share.take_news(&news(after(60), after(61)), at(0)), NewsVerdict::Next);
+fn list_updates_apply_only_within_one_epoch() {
+    let mut sync = sync_at(before(90));
+    assert_eq!(sync.take_news(&update(after(50), after(60)), at(0)), NewsVerdict::Gap);
+    assert_eq!(sync.take_news(&update(before(80), after(60)), at(0)), NewsVerdict::Gap);
+    let mut sync = sync_at(after(60));
+    assert_eq!(sync.take_news(&update(before(90), before(95)), at(0)), NewsVerdict::Known);
+    assert_eq!(sync.take_news(&update(after(60), after(61)), at(0)), NewsVerdict::Next);
 }
 
 #[test]
-fn a_mark_of_the_next_epoch_that_agents_tell_has_the_list_read() {
-    let mut share = share_at(before(90));
-    share.note_agent(8, Some(after(60)), at(0));
-    assert!(share.is_behind(at(5_000)));
-    share.note_list(after(61), after(60));
-    assert!(!share.is_behind(at(5_000)));
+fn a_list_revision_of_the_next_epoch_reported_by_agents_requires_a_read() {
+    let mut sync = sync_at(before(90));
+    sync.note_agent(8, Some(after(60)), at(0));
+    assert!(sync.is_behind(at(5_000)));
+    sync.note_list(after(61), after(60));
+    assert!(!sync.is_behind(at(5_000)));
 }
 
-/// What is read anew after the store came back says nothing of what others know of before.
+/// A list read after a restore does not continue from a revision that other entries know.
 #[test]
-fn nobody_is_told_of_changes_from_one_epoch_to_the_next() {
+fn changes_across_epochs_are_not_announced() {
     let mut core = RelayCore::new(limits(StalePolicy::FailClosed), 1);
     let both = TargetList {
         records: vec![record("a", 1), record("b", 2)],
@@ -139,18 +139,18 @@
         changed_at: after(60),
         ..TargetList::new(after(60))
     };
-    let (change, news) = core.take_reread(one, false, at(0), at(10));
+    let (change, update) = core.take_reread(one, false, at(0), at(10));
     assert_eq!(change.removed, [name("b")]);
-    assert_eq!(news, None);
+    assert_eq!(update, None);
 }
 
 fn listed(name: &str, at: StoreRevision) -> TargetRecord {
     TargetRecord { listed_at: at, ..record(name, 1) }
 }
 
-/// Two targets at one address: the later one has it, also where its number is lower.
+/// Of two targets at one address the later one is used, even if its revision number is lower.
 #[test]
-fn a_target_of_this_epoch_displaces_one_of_the_last() {
+fn a_target_of_this_epoch_supersedes_one_of_the_previous_epoch() {
     let mut set = TargetSet::default();
     set.take_list(vec![listed("old", before(150))], false, at(0));
     set.take_change(listed("new", after(60)), at(10));
@@ -160,21 +160,21 @@
 }
 
 #[test]
-fn an_earlier_version_is_no_proof_of_a_later_one() {
+fn an_earlier_version_does_not_prove_a_later_one() {
     let mut core = core_at(before(9), 3);
     core.take_read(read(after(5), Some(2)), at(3_000));
     core.take_read(read(after(5), None), at(3_500));
-    assert_eq!(core.rules().version(), 3, "versions do not step back");
+    assert_eq!(core.rules().version(), 3, "versions never decrease");
     assert_eq!(core.lease().proven_at(), Some(at(1_000)));
-    assert!(core.config_copy().is_none(), "it is not what the store holds");
+    assert!(core.config_copy().is_none(), "the store holds another configuration");
     core.take_read(read(after(6), Some(3)), at(4_000));
-    assert_eq!(core.lease().proven_at(), Some(at(4_000)), "it was written again");
+    assert_eq!(core.lease().proven_at(), Some(at(4_000)), "the version was written again");
 }
 
-/// An answer that a watch overtook holds an earlier version, and still proves that no later
-/// one than that of the watch was in force.
+/// An answer that a watch has overtaken holds an earlier version. It still proves that no
+/// version later than the watch's was in force.
 #[test]
-fn a_read_that_was_overtaken_proves_and_changes_nothing() {
+fn an_overtaken_read_renews_the_proof_without_changing_the_configuration() {
     let mut core = core_at(after(9), 3);
     core.take_news(config_news(after(12), config(4)), at(2_000));
     assert!(!core.take_read(read(after(9), Some(3)), at(1_900)));
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn an_answer_of_the_last_epoch_proves_nothing() {
+fn an_answer_of_the_previous_epoch_proves_nothing() {
     let mut core = core_at(after(5), 3);
     assert!(!core.take_read(read(before(20), Some(9)), at(5_000)));
     assert!(!core.take_news(config_news(before(20), config(9)), at(5_000)));
@@ -192,9 +192,9 @@
     assert_eq!(core.rules().version(), 3);
 }
 
-/// What was proven before the store came back is not told with a revision of after.
+/// A proof made before a restore of the store must not be given with a revision made after it.
 #[test]
-fn a_proof_is_told_in_the_epoch_in_which_it_was_made() {
+fn a_proof_is_given_only_in_the_epoch_in_which_it_was_made() {
     let mut core = core_at(before(9), 3);
     core.take_read(read(before(9), None), at(2_000));
     assert!(core.tell_proof(7, at(2_100)).is_some());
@@ -209,31 +209,32 @@
     ConfigRead { revision, store_revision, config, unreadable: Vec::new() }
 }
 
-/// An entry that knows no configuration takes what there is.
+/// An entry without a configuration applies the one that the store holds.
 #[test]
-fn a_process_that_starts_takes_what_the_copy_holds() {
+fn a_starting_process_applies_the_configuration_of_the_backup() {
     let mut core = RelayCore::new(limits(StalePolicy::FailClosed), 1);
     assert!(core.take_config(Some(config(2)), at(3_000)));
     assert!(core.lease().is_held(at(3_001)));
 }
 
-fn held() -> QuarantineRecord {
+fn quarantined() -> QuarantineRecord {
     let digest = RequestDigest::of(None, "h.example", "/x", b"body");
     QuarantineRecord { digest, since_ms: 1_000, renewals: 0 }
 }
 
-/// A write at a revision may meet the same number of the next epoch, with another content.
+/// A conditional write may succeed at the same revision number of the next epoch, where the object
+/// has other content.
 #[test]
-fn a_write_that_met_the_next_epoch_leaves_the_configuration_unknown() {
+fn a_write_in_the_next_epoch_does_not_advance_the_revision() {
     let mut core = core_at(before(9), 3);
-    core.note_written(&[held()], after(10), at(2_000));
+    core.note_written(&[quarantined()], after(10), at(2_000));
     assert_eq!((core.config_revision().epoch, core.config_revision().number), (1, 9));
 }
 
 #[test]
-fn what_the_copy_does_not_hold_back_is_written_again() {
+fn quarantine_records_missing_in_the_backup_are_written_again() {
     let mut core = core_at(before(9), 3);
-    let known = RelayConfig { quarantine: vec![held()], ..config(3) };
+    let known = RelayConfig { quarantine: vec![quarantined()], ..config(3) };
     core.take_config(Some(known), at(1_500));
     assert_eq!(core.quarantine_to_write(at(9_000)), None);
     core.take_config(Some(config(3)), at(10_000));
@@ -241,24 +242,24 @@
     assert_eq!(core.quarantine_to_write(due).map(|records| records.len()), Some(1));
 }
 
-/// A target that had left stands in the copy as ready, until that it left is written again. One
-/// that is listed anew has another place in the count, and is taken at once.
+/// A backup may list a target as ready that has left since, until its removal is written again.
+/// A target that registers again gets another revision number and is usable at once.
 #[test]
-fn a_target_that_had_gone_before_the_copy_shows_it_is_left_alone() {
+fn a_removed_target_that_the_backup_lists_again_is_unusable_for_a_while() {
     let mut set = TargetSet::default();
     set.take_list(vec![listed("a", before(50))], false, at(0));
     set.take_removal("a", None, at(1_000));
     set.take_list(vec![listed("a", after(50))], true, at(2_000));
     assert!(!set.get("a").unwrap().is_usable(at(5_900)));
-    assert!(set.get("a").unwrap().is_usable(at(6_000)), "it is there after all");
+    assert!(set.get("a").unwrap().is_usable(at(6_000)), "the target is still listed");
     let mut set = TargetSet::default();
     set.take_list(vec![listed("a", before(50))], false, at(0));
     set.take_removal("a", None, at(1_000));
     set.take_list(vec![listed("a", after(61))], true, at(2_000));
-    assert!(set.get("a").unwrap().is_usable(at(2_000)), "it lists itself again");
+    assert!(set.get("a").unwrap().is_usable(at(2_000)), "the target registered again");
     let mut set = TargetSet::default();
     set.take_list(vec![listed("a", before(50))], false, at(0));
     set.take_removal("a", None, at(1_000));
     set.take_list(vec![listed("a", before(50))], true, at(2_000));
-    assert!(set.get("a").unwrap().is_usable(at(2_000)), "the same store shows it again");
+    assert!(set.get("a").unwrap().is_usable(at(2_000)), "the epoch is the same");
 }
--- a/tests/relay/stop.rs
+++ b/tests/relay/stop.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn a_stop_serves_until_callers_are_sent_elsewhere_and_waits_for_what_is_open() {
+fn a_stop_serves_new_requests_at_first_and_then_waits_for_open_ones() {
     assert_eq!(phase(2_000, 0), StopPhase::Serving);
     assert_eq!(phase(2_700, 0), StopPhase::Ended);
     assert_eq!(phase(2_700, 3), StopPhase::Serving);
@@ -17,9 +17,9 @@
     assert_eq!(phase(7_400, 3), StopPhase::Ended);
 }
 
-/// Past failure: a request that came 3.18 s after the beginning was taken, and
-/// cut 4.3 s later by the end of the stop.
+/// Guards against a request that is accepted too late: one that arrived 3.18 s after the start of
+/// a stop was cut off 4.3 s later by its end.
 #[test]
-fn what_comes_after_three_seconds_is_not_taken() {
+fn requests_after_three_seconds_are_refused() {
     assert_eq!(phase(2_999, 1), StopPhase::Finishing);
 }
