--- a/src/relay/shared.rs
+++ b/src/relay/shared.rs
@@ -38,8 +38,11 @@
     pub(crate) targets: TargetDialect,
     pub(crate) log: DecisionLog,
     pub(crate) counts: RefCell<RelayCounts>,
+    /// Whether a planned stop has begun.
     pub(crate) is_stopping: Cell<bool>,
+    /// Whether new requests are refused.
     pub(crate) is_closed_to_new: Cell<bool>,
+    /// When a call to the store last failed, or the store was last restored from a backup.
     pub(crate) away_at: Cell<Option<Tick>>,
     /// Phase of the start of this process.
     pub(crate) start: watch::Sender<StartPhase>,
@@ -62,11 +65,14 @@
     /// Notified when the store has to record that a request is quarantined.
     pub(crate) quarantine_due: Notify,
     pub(crate) link: LoadLink,
+    /// Client for memory reservations and for copies of other entries' configurations.
     pub(crate) orders: HttpClient,
+    /// Number of the next memory reservation.
     pub(crate) order_number: Cell<u32>,
     /// Requests for permits that wait for an answer, by their nonce.
     pub(crate) permit_asks: RefCell<HashMap<u64, oneshot::Sender<PermitReply>>>,
     pub(crate) clock: ProcessClock,
+    /// Number of requests whose answers are not complete.
     pub(crate) open: Cell<usize>,
 }
 
@@ -79,6 +85,7 @@
         self.core.borrow().targets.get(target).map(|target| target.record.address)
     }
 
+    /// Returns how long a target has sent nothing while requests were waiting for it.
     pub(crate) fn silence_of(&self, target: &str) -> Duration {
         let core = self.core.borrow();
         core.targets.get(target).map_or(Duration::ZERO, |target| target.silence(self.now()))
