--- a/src/relay/core/attempts.rs
+++ b/src/relay/core/attempts.rs
@@ -24,13 +24,13 @@
         self.budget(service).note_request(now);
     }
 
-    /// Takes a retry from this entry's own_load budget, `false` if none is left.
+    /// Takes a retry from this entry's own budget, `false` if none is left.
     pub fn take_retry(&mut self, service: &Arc<str>, now: Tick) -> bool {
         self.budget(service).take(now)
     }
 
-    /// Returns `true` if a retry is possible now at a target that has not been tried. Rate-limited
-    /// targets do not count, since they may grant no permit.
+    /// Returns `true` if a retry could be made now at a target that has not been tried.
+    /// Rate-limited targets do not count, since a permit for them may be refused.
     pub fn could_retry(
         &mut self,
         service: &Arc<str>,
@@ -241,7 +241,7 @@
             // In a large fleet another engine takes its place.
             self.choose_engines(now);
         } else if notice.warmup.is_some() {
-            self.mark_rates(now);
+            self.update_rate_limits(now);
         }
     }
 
--- a/src/relay/core/configuration.rs
+++ b/src/relay/core/configuration.rs
@@ -150,7 +150,7 @@
     fn activate(&mut self, config: RelayConfig, now: Tick) {
         self.rules = Rc::new(RuleTable::from_config(config.clone()));
         self.set_config(config);
-        self.set_rates(now);
+        self.set_engine_rates(now);
     }
 
     fn set_config(&mut self, config: RelayConfig) {
--- a/src/relay/core/permits.rs
+++ b/src/relay/core/permits.rs
@@ -81,7 +81,7 @@
             RateWord::Named(rate) => self.rates.note_named(instance, rate, now),
         };
         if is_changed {
-            self.mark_rates(now);
+            self.update_rate_limits(now);
         }
     }
 
@@ -92,7 +92,7 @@
             is_changed |= self.rates.take(update, now);
         }
         if is_changed {
-            self.mark_rates(now);
+            self.update_rate_limits(now);
         }
     }
 
@@ -116,12 +116,12 @@
     /// Removes rates that have not been confirmed for a long time.
     pub fn expire_rates(&mut self, now: Tick) {
         if self.rates.expire(self.jitter(), now) {
-            self.mark_rates(now);
+            self.update_rate_limits(now);
         }
     }
 
     /// Sets the effective rate limit of each target, from its announced rate and its warm-up.
-    pub(super) fn mark_rates(&mut self, now: Tick) {
+    pub(super) fn update_rate_limits(&mut self, now: Tick) {
         for target in self.targets.iter_mut() {
             let is_known = !self.rates.is_empty();
             let named = is_known.then(|| self.rates.rate_of(&target.record.to_life())).flatten();
@@ -130,12 +130,12 @@
     }
 
     /// Returns the request for a permit that has to be made before a request is sent as it was
-    /// placed, `None` if its target is not rate-limited. The request would wait up to `most_wait`.
+    /// placed, `None` if its target is not rate-limited. The request would wait up to `max_wait`.
     #[must_use]
     pub fn permit_query(
         &self,
         placement: &Placement,
-        most_wait: Duration,
+        max_wait: Duration,
         now: Tick,
     ) -> Option<PermitQuery> {
         let target = self.targets.get(&placement.target)?;
@@ -148,14 +148,14 @@
         let news = match self.rates.to_news_of(&life, now) {
             Some(news) => news,
             None if warmup.is_none() => return None,
-            // An unknown rate is no update.
+            // No rate is known: the maximum age keeps this from counting as an update.
             None => RateNews { life, rate: None, age_ms: u32::MAX },
         };
         let is_second = target.unheard_at.is_some_and(|at| now.since(at) < FALLBACK_DURATION);
         let ask = PermitAsk {
             news,
             warmup,
-            most_wait_ms: most_wait.as_millis().try_into().unwrap_or(u32::MAX),
+            most_wait_ms: max_wait.as_millis().try_into().unwrap_or(u32::MAX),
             is_second,
         };
         Some(PermitQuery { ask, asked_at: now, beside: self.issuer_of(target, is_second) })
--- a/src/relay/core/target_list.rs
+++ b/src/relay/core/target_list.rs
@@ -44,7 +44,7 @@
         if had_list && !change.is_empty() {
             self.list_share.note_difference();
         }
-        self.set_rates(now);
+        self.set_engine_rates(now);
         self.choose_engines(now);
         change
     }
@@ -98,16 +98,16 @@
 
     /// Selects the engines that this entry uses.
     pub fn choose_engines(&mut self, now: Tick) {
-        self.mark_rates(now);
+        self.update_rate_limits(now);
         let RelayLimits { failure_domain, policy, .. } = &self.limits;
         let query = SubsetQuery { entry: self.entry, failure_domain, most: policy.most_engines };
         let services: Vec<_> = self.engine_services().into_iter().collect();
         mark_used(&mut self.targets, &services, query, now);
     }
 
-    /// Sets the rates of each target from its service. The configuration and the list are read
-    /// separately, and either may arrive first.
-    pub(super) fn set_rates(&mut self, now: Tick) {
+    /// Sets the engine rates and the warm-up limit of each target from its service. The
+    /// configuration and the list are read separately, and either may arrive first.
+    pub(super) fn set_engine_rates(&mut self, now: Tick) {
         if self.config.is_some() {
             let rules = self.rules.clone();
             let change = self.targets.note_services(|name| rules.service(name).is_some());
@@ -134,7 +134,7 @@
     pub fn take_change(&mut self, record: TargetRecord, now: Tick) -> ListChange {
         let change = self.targets.take_change(record, now);
         self.record_crashes(&change, now);
-        self.set_rates(now);
+        self.set_engine_rates(now);
         self.choose_engines(now);
         change
     }
--- a/src/relay/server.rs
+++ b/src/relay/server.rs
@@ -139,21 +139,17 @@
 /// values, and the log line names those that were applied.
 async fn reload_settings(shared: Rc<RelayShared>, file: SettingsFile, settings: RelaySettings) {
     let current = RefCell::new(settings);
-    let reload = |is_requested: bool| match file.read() {
+    let reload = |is_signal: bool| match file.read() {
         Ok(settings) if settings != *current.borrow() => {
             shared.core.borrow_mut().set_limits(settings.to_limits());
             slog::info!(shared.log.logger(), "settings reloaded";
                 "applied" => "regions, revoke_ms, evacuate_ms, warmup_overrun, warmup_slack, fail_closed, drain_ms, store_history_s, retry_ratio, retry_slack, retry_window_s");
             *current.borrow_mut() = settings;
         }
-        Ok(_) if is_requested => {
-            slog::info!(shared.log.logger(), "settings reloaded, none changed")
-        }
+        Ok(_) if is_signal => slog::info!(shared.log.logger(), "settings reloaded, none changed"),
         Ok(_) => {}
-        Err(error) => {
-            slog::warn!(shared.log.logger(), "settings not reloaded, keeping the previous ones";
-            "error" => %error)
-        }
+        Err(error) => slog::warn!(shared.log.logger(), "settings not reloaded, old ones kept";
+            "error" => %error),
     };
     let timed = async {
         loop {
