--- a/src/relay/core/configuration.rs
+++ b/src/relay/core/configuration.rs
@@ -131,8 +131,8 @@
 
     fn apply_version(&mut self, config: RelayConfig, now: Tick) -> bool {
         self.quarantine.take_records(&config.quarantine, self.unix_ms(now), now);
-        // A lower version than the one in force would be a step back. A store that was restored from
-        // a backup with a lower version may also have lost a later version than the one known here.
+        // A lower version than the one in force would be a step back. A store restored from a
+        // backup with a lower version may also have lost a later one than is known here.
         let is_lower = config.version < self.rules.version();
         self.is_store_behind = is_lower && self.rules_epoch != self.config_revision.epoch;
         if is_lower {
--- a/src/relay/core/mod.rs
+++ b/src/relay/core/mod.rs
@@ -85,8 +85,8 @@
     BadKey,
 }
 
-/// A sent attempt with the resources that it occupies at targets. [`RelayCore::end`] releases
-/// them.
+/// A sent attempt with the resources that it occupies at targets, which [`RelayCore::end`]
+/// releases.
 #[derive(Clone, Debug)]
 pub struct AttemptShare {
     /// The target that answers.
