--- a/src/entry/quarantine.rs
+++ b/src/entry/quarantine.rs
@@ -20,7 +20,7 @@
             return None;
         }
         self.quarantine.decide(now);
-        self.quarantine.holds().held_for(&digest_of(arrival), now)
+        self.quarantine.quarantined().quarantine_left(&digest_of(arrival), now)
     }
 
     /// Returns true where an open request is to be given out no more.
@@ -30,7 +30,7 @@
         }
         self.quarantine.decide(now);
         let digest = self.requests.get(&number).map(|request| digest_of(&request.arrival));
-        digest.is_some_and(|digest| self.quarantine.holds().held_for(&digest, now).is_some())
+        digest.is_some_and(|digest| self.quarantine.quarantined().quarantine_left(&digest, now).is_some())
     }
 
     /// Notes that a request broke off at a target, which may have ended under it.
@@ -40,7 +40,7 @@
         let settled = request.first.map_or(Duration::ZERO, |first| now.since(first));
         let life = self.life_of(target);
         // Nobody else is told: entries do not speak with one another here.
-        let _ = self.quarantine.note_broken(digest, &life, settled, now);
+        let _ = self.quarantine.record_broken(digest, &life, settled, now);
     }
 
     /// Notes that a target answered a request, which does not end those that run it then.
@@ -50,14 +50,14 @@
         }
         let digest = self.requests.get(&number).map(|request| digest_of(&request.arrival));
         if let Some(digest) = digest {
-            self.quarantine.note_served(&digest);
+            self.quarantine.record_served(&digest);
         }
     }
 
     /// Notes an agent's word that its engine has ended.
     pub(super) fn on_target_lost(&mut self, target: &Arc<str>, now: Tick) {
         let life = self.life_of(target);
-        let _ = self.quarantine.note_ended(&life, now);
+        let _ = self.quarantine.record_crash(&life, now);
         *self.lives.entry(target.clone()).or_default() += 1;
         self.quarantine.decide(now);
     }
@@ -65,7 +65,7 @@
     /// The life that a target is in, by the ends that its agent has told of.
     fn life_of(&self, target: &Arc<str>) -> TargetLife {
         let ends = self.lives.get(target).copied().unwrap_or(0);
-        TargetLife { incarnation: target.clone(), born_ms: ends }
+        TargetLife { incarnation: target.clone(), started_ms: ends }
     }
 }
 
--- a/src/relay/core/attempts.rs
+++ b/src/relay/core/attempts.rs
@@ -20,8 +20,8 @@
 
 impl RelayCore {
     /// Counts a caller's request towards the retry budget of its service.
-    pub fn note_request(&mut self, service: &Arc<str>, now: Tick) {
-        self.budget(service).note_request(now);
+    pub fn record_request(&mut self, service: &Arc<str>, now: Tick) {
+        self.budget(service).record_request(now);
     }
 
     /// Takes a retry from this entry's own budget, `false` if none is left.
@@ -45,7 +45,7 @@
             target.is_used && is_unlimited && is_untried(&target.record.incarnation)
         });
         let budget = self.budget(service);
-        has_other && (budget.is_left(now) || budget.may_ask(now))
+        has_other && (budget.has_retry(now) || budget.may_request(now))
     }
 
     pub(super) fn budget(&mut self, service: &Arc<str>) -> &mut RetryBudget {
@@ -61,19 +61,19 @@
         scope: TargetScope<'_>,
         now: Tick,
     ) -> Option<Placement> {
-        self.place_with_policy(service.into(), need, scope, TurnPolicy::AtOnce, now)
+        self.place_with_policy(service.into(), need, scope, TurnPolicy::Immediate, now)
     }
 
     /// Chooses the targets of a request that can wait for a permit of a rate-limited target,
     /// `None` if no target can take it.
-    pub fn place_for_turn<'a>(
+    pub fn place_with_permit<'a>(
         &mut self,
         service: impl Into<ServiceScope<'a>>,
         need: Option<&PromptNeed>,
         scope: TargetScope<'_>,
         now: Tick,
     ) -> Option<Placement> {
-        self.place_with_policy(service.into(), need, scope, TurnPolicy::Waits, now)
+        self.place_with_policy(service.into(), need, scope, TurnPolicy::MayWait, now)
     }
 
     fn place_with_policy(
@@ -92,7 +92,7 @@
         }
         let RelayLimits { failure_domain, policy, .. } = &self.limits;
         let entry = self.entry;
-        let query = PlacementQuery { service, failure_domain, scope, turn, entry, policy };
+        let query = PlacementQuery { service, failure_domain, scope, permit: turn, entry, policy };
         match need {
             Some(need) => place_prompt(&self.targets, &query, need, now),
             None => place_call(&self.targets, &query, now),
@@ -100,7 +100,7 @@
     }
 
     /// Records that a request is being sent as it was placed.
-    pub fn begin(
+    pub fn begin_attempt(
         &mut self,
         placement: &Placement,
         need: Option<&PromptNeed>,
@@ -109,18 +109,18 @@
         self.next_number += 1;
         let key = StreamKey { entry: self.entry, number: self.next_number };
         if let Some(target) = self.targets.get_mut(&placement.target) {
-            target.note_sent(now);
+            target.record_sent(now);
         }
         if let Some(need) = need {
             self.begin_stream(placement, need, key, now);
         }
         AttemptShare {
             target: placement.target.clone(),
-            life: self.life_of(&placement.target),
+            instance: self.instance_of(&placement.target),
             is_suspect: false,
             helpers: placement.helpers.clone(),
-            key,
-            turn_until: placement.turn_until,
+            stream_key: key,
+            send_before: placement.send_before,
         }
     }
 
@@ -135,15 +135,15 @@
             return;
         };
         let shards = placement.helpers.len() + 1;
-        let prefill = model.rates().read_time(need.prompt);
-        let holders = placement.seats.len() + 1;
-        let start_us = placement.first.as_micros() as u64;
-        let passes = model.rates().passes(need.answer);
-        let own_load = StreamLoad { start_us, ..need.to_load(prefill, shards, holders, passes) };
-        let shard_load = StreamLoad { start_us, ..need.to_helper_load(prefill, shards) };
+        let prefill = model.rates().prefill_time(need.prompt_tokens);
+        let holders = placement.reservations.len() + 1;
+        let start_us = placement.first_event.as_micros() as u64;
+        let passes = model.rates().passes(need.answer_tokens);
+        let own_load = StreamLoad { first_event_us: start_us, ..need.to_load(prefill, shards, holders, passes) };
+        let shard_load = StreamLoad { first_event_us: start_us, ..need.to_helper_load(prefill, shards) };
         self.add_load(&placement.target, key, own_load, now);
         for (index, helper) in placement.helpers.iter().enumerate() {
-            let load = if index < placement.seats.len() { own_load } else { shard_load };
+            let load = if index < placement.reservations.len() { own_load } else { shard_load };
             self.add_load(helper, key, load, now);
         }
     }
@@ -152,43 +152,43 @@
         let target = self.targets.get_mut(name);
         if let Some(model) = target.and_then(|target| target.model.as_mut()) {
             model.add(key, load, now);
-            self.outbox.push(LoadNote::Placed { target: name.clone(), key, load });
+            self.outbox.push(LoadNote::StreamPlaced { target: name.clone(), key, load });
         }
     }
 
     /// Records that an attempt has ended, whatever its outcome, and releases what it occupied.
-    pub fn end(&mut self, attempt: &AttemptShare) {
-        let is_same = self.life_of(&attempt.target) == attempt.life;
+    pub fn end_attempt(&mut self, attempt: &AttemptShare) {
+        let is_same = self.instance_of(&attempt.target) == attempt.instance;
         if let Some(target) = self.targets.get_mut(&attempt.target).filter(|_| is_same) {
-            target.note_ended();
+            target.record_finished();
         }
-        if let Some(instance) = attempt.life.as_ref().filter(|_| attempt.is_suspect) {
-            self.quarantine.note_over(instance);
+        if let Some(instance) = attempt.instance.as_ref().filter(|_| attempt.is_suspect) {
+            self.quarantine.record_finished(instance);
         }
         for name in std::iter::once(&attempt.target).chain(&attempt.helpers) {
             let target = self.targets.get_mut(name);
             if let Some(model) = target.and_then(|target| target.model.as_mut()) {
-                model.remove(attempt.key);
-                self.outbox.push(LoadNote::Ended { target: name.clone(), key: attempt.key });
+                model.remove(attempt.stream_key);
+                self.outbox.push(LoadNote::StreamEnded { target: name.clone(), key: attempt.stream_key });
             }
         }
     }
 
     /// Records that bytes of an answer were received.
-    pub fn note_heard(&mut self, target: &str, now: Tick) {
+    pub fn record_received(&mut self, target: &str, now: Tick) {
         if let Some(target) = self.targets.get_mut(target) {
-            target.note_heard(now);
+            target.record_received(now);
         }
     }
 
     /// Predicts the time until the prompt of an attempt is prefilled, from the known prefill work
     /// of its engines.
-    pub fn time_to_read(&mut self, attempt: &AttemptShare, now: Tick) -> Duration {
+    pub fn time_to_prefill(&mut self, attempt: &AttemptShare, now: Tick) -> Duration {
         let mut longest = Duration::ZERO;
         for name in std::iter::once(&attempt.target).chain(&attempt.helpers) {
             if let Some(model) = self.model(name) {
                 model.advance(now);
-                longest = longest.max(model.time_to_read(attempt.key, now));
+                longest = longest.max(model.time_to_prefill(attempt.stream_key, now));
             }
         }
         longest
@@ -200,44 +200,44 @@
     }
 
     /// Records the first event of a stream: its prompt is prefilled.
-    pub fn note_first(&mut self, attempt: &AttemptShare, now: Tick) {
+    pub fn record_first_event(&mut self, attempt: &AttemptShare, now: Tick) {
         for name in std::iter::once(&attempt.target).chain(&attempt.helpers) {
             if let Some(model) = self.model(name) {
-                model.note_first(attempt.key, now);
+                model.record_first_event(attempt.stream_key, now);
             }
         }
     }
 
     /// Records an event that its engine sent at the end of a forward pass.
-    pub fn note_pass(&mut self, target: &str, now: Tick) {
+    pub fn record_pass(&mut self, target: &str, now: Tick) {
         if let Some(model) = self.model(target) {
-            model.note_pass(now);
+            model.record_pass_end(now);
         }
     }
 
     /// Records a request that its target served.
-    pub fn note_success(&mut self, target: &str) {
+    pub fn record_success(&mut self, target: &str) {
         if let Some(target) = self.targets.get_mut(target) {
-            target.note_success();
+            target.record_success();
         }
     }
 
     /// Records a failure of a target. Returns the duration of its ejection, if it is ejected.
-    pub fn note_failure(
+    pub fn record_failure(
         &mut self,
         target: &str,
         fault: TargetFault,
         now: Tick,
     ) -> Option<Duration> {
-        self.targets.get_mut(target)?.note_failure(fault, now)
+        self.targets.get_mut(target)?.record_failure(fault, now)
     }
 
     /// Applies what an answer says of the target instance that gave it, except for its rate
-    /// ([`RelayCore::take_rate`]).
-    pub fn take_notice(&mut self, instance: &TargetLife, notice: &TargetNotice, now: Tick) {
+    /// ([`RelayCore::apply_rate`]).
+    pub fn apply_notice(&mut self, instance: &TargetLife, notice: &TargetNotice, now: Tick) {
         let target = self.targets.get_mut(&instance.incarnation);
         let target = target.filter(|target| target.record.to_life() == *instance);
-        if target.is_some_and(|target| target.take_notice(notice, now)) {
+        if target.is_some_and(|target| target.apply_notice(notice, now)) {
             // In a large fleet another engine takes its place.
             self.choose_engines(now);
         } else if notice.warmup.is_some() {
@@ -249,16 +249,16 @@
     /// for back-off since.
     #[must_use]
     pub fn may_send(&self, attempt: &AttemptShare, now: Tick) -> bool {
-        if self.life_of(&attempt.target) != attempt.life {
+        if self.instance_of(&attempt.target) != attempt.instance {
             return false;
         }
         let Some(target) = self.targets.get(&attempt.target) else { return false };
-        let has_permit = match attempt.turn_until {
+        let has_permit = match attempt.send_before {
             Some(until) => now <= until,
             None => target.rate.is_none(),
         };
         let is_accepting =
-            |name: &Arc<str>| self.targets.get(name).is_some_and(|target| target.is_willing(now));
+            |name: &Arc<str>| self.targets.get(name).is_some_and(|target| target.is_accepting(now));
         has_permit && is_accepting(&attempt.target) && attempt.helpers.iter().all(is_accepting)
     }
 
@@ -275,21 +275,21 @@
 
     /// Records that a helper was the cause of a refusal of `target`, which counts as a failure of
     /// the helper. Returns `true` if a target with this address is known.
-    pub fn note_helper_failure(&mut self, target: &str, helper: SocketAddr, now: Tick) -> bool {
+    pub fn record_helper_failure(&mut self, target: &str, helper: SocketAddr, now: Tick) -> bool {
         let mut targets = self.targets.iter_mut();
         let found = targets
             .find(|other| other.record.address == helper && &*other.record.incarnation != target);
         let Some(found) = found else { return false };
         // Its ejection is logged when a request to the helper itself fails.
-        let _ = found.note_failure(TargetFault::Broken, now);
+        let _ = found.record_failure(TargetFault::Broken, now);
         true
     }
 
     /// Records that the agent at `host` reports its engine as down.
-    pub fn note_down(&mut self, host: IpAddr, now: Tick) {
+    pub fn record_down(&mut self, host: IpAddr, now: Tick) {
         let engines = self.targets.iter_mut().filter(|target| target.model.is_some());
         for target in engines.filter(|target| target.record.address.ip() == host) {
-            target.note_down(now);
+            target.record_down(now);
         }
     }
 }
--- a/src/relay/core/configuration.rs
+++ b/src/relay/core/configuration.rs
@@ -16,7 +16,7 @@
 impl RelayCore {
     /// Applies a linearizable read that was sent at `sent_at`. Returns `true` if another version
     /// came into force.
-    pub fn take_read(&mut self, read: ConfigRead, sent_at: Tick) -> bool {
+    pub fn apply_read(&mut self, read: ConfigRead, sent_at: Tick) -> bool {
         // The answer was under way while the store was restored from a backup.
         if read.revision.epoch < self.config_revision.epoch {
             return false;
@@ -30,11 +30,11 @@
         self.set_config_revision(read.revision);
         if !is_earlier && sent_at >= self.read_at {
             self.read_at = sent_at;
-            self.config_share.note_read(self.config_revision);
+            self.config_share.record_read(self.config_revision);
         }
         let is_new = config.is_some_and(|config| self.apply_stored(config, sent_at));
         if !is_earlier {
-            self.config_share.note_confirmed();
+            self.config_share.mark_confirmed();
         }
         self.prove(sent_at);
         is_new
@@ -56,8 +56,8 @@
     fn apply_refutation(&mut self, read: ConfigRead, sent_at: Tick) -> bool {
         let Some(config) = read.config else { return false };
         self.config_revision = read.revision;
-        self.config_share.note_read(read.revision);
-        self.config_share.note_confirmed();
+        self.config_share.record_read(read.revision);
+        self.config_share.mark_confirmed();
         self.activate(config, sent_at);
         self.prove(sent_at);
         true
@@ -65,7 +65,7 @@
 
     /// Applies the configuration of a linearizable read, `None` if it is the known one. Returns
     /// `true` if another version came into force.
-    pub fn take_config(&mut self, config: Option<RelayConfig>, sent_at: Tick) -> bool {
+    pub fn apply_config(&mut self, config: Option<RelayConfig>, sent_at: Tick) -> bool {
         let is_new = config.is_some_and(|config| self.apply_version(config, sent_at));
         self.prove(sent_at);
         is_new
@@ -73,28 +73,28 @@
 
     /// Applies an update that a watch received. It proves nothing about later versions. Returns
     /// `true` if it came into force.
-    pub fn take_news(&mut self, update: ConfigNews, now: Tick) -> bool {
+    pub fn apply_update(&mut self, update: ConfigNews, now: Tick) -> bool {
         if update.revision < self.config_revision {
             return false;
         }
         self.set_config_revision(update.revision);
         let is_new = self.apply_stored(update.config, now);
-        self.config_share.note_confirmed();
+        self.config_share.mark_confirmed();
         is_new
     }
 
     /// Applies a change that another entry announced. It is in force, but unconfirmed until it is
     /// proven. Returns `true` if another version came into force.
-    pub fn take_delta(&mut self, delta: &ConfigDelta, now: Tick) -> bool {
-        if delta.mark <= self.config_revision {
+    pub fn apply_delta(&mut self, delta: &ConfigDelta, now: Tick) -> bool {
+        if delta.revision <= self.config_revision {
             return false;
         }
         let Some(base) = self.config.clone().filter(|_| self.continues_from_known(delta)) else {
-            self.config_share.note_told(delta.mark, self.config_revision, now);
+            self.config_share.record_announced(delta.revision, self.config_revision, now);
             return false;
         };
-        self.set_config_revision(delta.mark);
-        self.config_share.note_unconfirmed(now);
+        self.set_config_revision(delta.revision);
+        self.config_share.mark_unconfirmed(now);
         self.apply_version(delta.apply(&base), now)
     }
 
@@ -102,7 +102,7 @@
     /// restore of the store from a backup leaves out what was lost.
     fn continues_from_known(&self, delta: &ConfigDelta) -> bool {
         let known = self.config_revision;
-        let is_same_epoch = [delta.since.epoch, delta.mark.epoch] == [known.epoch; 2];
+        let is_same_epoch = [delta.since.epoch, delta.revision.epoch] == [known.epoch; 2];
         is_same_epoch && delta.since <= known && !self.is_store_behind
     }
 
@@ -130,7 +130,7 @@
     }
 
     fn apply_version(&mut self, config: RelayConfig, now: Tick) -> bool {
-        self.quarantine.take_records(&config.quarantine, self.unix_ms(now), now);
+        self.quarantine.apply_records(&config.quarantine, self.unix_ms(now), now);
         // A lower version than the one in force would be a step back. A store restored from a
         // backup with a lower version may also have lost a later one than is known here.
         let is_lower = config.version < self.rules.version();
@@ -174,7 +174,7 @@
 
     /// Records the epoch that an answer of the store names. Returns the epoch known before if the
     /// store has been restored from a backup since.
-    pub fn note_epoch(&mut self, epoch: u64) -> Option<u64> {
+    pub fn record_epoch(&mut self, epoch: u64) -> Option<u64> {
         let known = self.store_epoch;
         self.store_epoch = known.max(Some(epoch));
         known.filter(|known| *known < epoch)
@@ -195,17 +195,17 @@
 
     /// Applies the configuration of another entry together with the proof that led to the
     /// request for it. Returns `true` if it came into force.
-    pub fn take_copy(&mut self, copy: &ConfigCopy, now: Tick) -> bool {
+    pub fn apply_copy(&mut self, copy: &ConfigCopy, now: Tick) -> bool {
         if copy.revision <= self.config_revision {
             return false;
         }
         self.set_config_revision(copy.revision);
         let is_new = self.apply_version((*copy.config).clone(), now);
-        self.config_share.note_unconfirmed(now);
+        self.config_share.mark_unconfirmed(now);
         let ahead = self.proof_share.take_ahead(copy.revision);
         if let Some(proof) = ahead.filter(|proof| proof.config_digest == self.config_digest) {
-            self.config_share.note_confirmed();
-            self.take_evacuations(proof.evacuations, proof.proven_at, now);
+            self.config_share.mark_confirmed();
+            self.apply_evacuations(proof.evacuations, proof.proven_at, now);
             self.prove(proof.proven_at);
         }
         is_new
@@ -220,26 +220,26 @@
     /// Records the revision of the configuration in force in the store.
     pub fn set_config_revision(&mut self, revision: StoreRevision) {
         self.config_revision = self.config_revision.max(revision);
-        self.config_share.note_own(self.config_revision);
+        self.config_share.record_own(self.config_revision);
     }
 
     /// Returns `true` if this entry should call a store again that did not answer.
     #[must_use]
-    pub fn probes_store(&self) -> bool {
-        ProofShare::probes(self.fleet_entries().unwrap_or(1), rand::random())
+    pub fn should_probe_store(&self) -> bool {
+        ProofShare::should_probe(self.fleet_entries().unwrap_or(1), rand::random())
     }
 
     /// Returns the entry whose proof should be requested, and the request. `None` if no entry with
     /// a proof that is enough newer is known.
-    pub fn ask_proof(&mut self, now: Tick) -> Option<(SocketAddr, LoadNote)> {
+    pub fn request_proof(&mut self, now: Tick) -> Option<(SocketAddr, LoadNote)> {
         let nonce = rand::random();
-        let address = self.proof_share.ask(nonce, self.lease.proven_at()?, now)?;
-        Some((address, LoadNote::AskProof { nonce }))
+        let address = self.proof_share.next_query(nonce, self.lease.proven_at()?, now)?;
+        Some((address, LoadNote::QueryProof { nonce }))
     }
 
     /// Answers another entry's request for a proof, `None` if this entry holds none.
     #[must_use]
-    pub fn tell_proof(&self, nonce: u64, now: Tick) -> Option<LoadNote> {
+    pub fn answer_proof_request(&self, nonce: u64, now: Tick) -> Option<LoadNote> {
         const ROUNDING: u32 = 1;
         // A proof from the previous epoch of the store says nothing of a revision of this one.
         if self.proven_epoch != self.config_revision.epoch || !self.is_config_confirmed() {
@@ -247,8 +247,8 @@
         }
         let age = self.lease.age(now).filter(|_| self.lease.is_held(now))?;
         let proof_age_ms = u32::try_from(age.as_millis()).ok()? + ROUNDING;
-        let evacuated = self.evacuated().cloned().collect();
-        Some(LoadNote::TellProof {
+        let evacuated = self.evacuated_domains().cloned().collect();
+        Some(LoadNote::AnswerProof {
             nonce,
             revision: self.config_revision,
             config_digest: self.config_digest,
@@ -259,16 +259,16 @@
 
     /// Applies another entry's answer, and renews the lease if the answer proves the configuration
     /// in force.
-    pub fn take_proof(&mut self, proof: &PeerProof, now: Tick) -> PeerVerdict {
-        let verdict = self.proof_share.take_answer(proof, self.config_revision);
+    pub fn apply_proof(&mut self, proof: &PeerProof, now: Tick) -> PeerVerdict {
+        let verdict = self.proof_share.apply_answer(proof, self.config_revision);
         if let PeerVerdict::ProvenAt(at) = verdict {
             let is_same =
                 proof.revision == self.config_revision && proof.config_digest == self.config_digest;
             if !is_same && !self.is_config_confirmed() {
                 return PeerVerdict::Useless;
             }
-            self.config_share.note_confirmed();
-            self.take_evacuations(proof.to_evacuations(), at, now);
+            self.config_share.mark_confirmed();
+            self.apply_evacuations(proof.to_evacuations(), at, now);
             self.prove(at);
         }
         verdict
--- a/src/relay/core/evacuation.rs
+++ b/src/relay/core/evacuation.rs
@@ -10,9 +10,9 @@
     /// Applies the list of failure domains that were out of service at `proven_at`. Returns `true`
     /// if that changes anything. What the same read proves of the
     /// configuration may only be applied afterwards.
-    pub fn take_evacuations(&mut self, list: EvacuationList, proven_at: Tick, now: Tick) -> bool {
+    pub fn apply_evacuations(&mut self, list: EvacuationList, proven_at: Tick, now: Tick) -> bool {
         let EvacuationList { domains, epoch } = list;
-        if !self.evacuations.take(domains, epoch, proven_at, now) {
+        if !self.evacuations.apply(domains, epoch, proven_at, now) {
             return false;
         }
         self.targets.set_evacuated(self.evacuations.domains().clone(), now);
@@ -21,7 +21,7 @@
     }
 
     /// Returns the failure domains that are out of service.
-    pub fn evacuated(&self) -> impl Iterator<Item = &Arc<str>> {
+    pub fn evacuated_domains(&self) -> impl Iterator<Item = &Arc<str>> {
         self.evacuations.domains().iter()
     }
 }
--- a/src/relay/core/mod.rs
+++ b/src/relay/core/mod.rs
@@ -78,29 +78,29 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
     /// No configuration is known, or it cannot be proven current.
-    NotFresh,
+    ConfigUnproven,
     /// No route matches the request.
     NoRoute,
     /// The key is unknown.
-    BadKey,
+    UnknownKey,
 }
 
-/// A sent attempt with the resources that it occupies at targets, which [`RelayCore::end`]
+/// A sent attempt with the resources that it occupies at targets, which [`RelayCore::end_attempt`]
 /// releases.
 #[derive(Clone, Debug)]
 pub struct AttemptShare {
     /// The target that answers.
     pub target: Arc<str>,
     /// The instance of that target, `None` if the target is no longer listed.
-    pub life: Option<TargetLife>,
+    pub instance: Option<TargetLife>,
     /// Whether targets crashed under this request before.
     pub is_suspect: bool,
     /// The targets that prefill shards of the prompt.
     pub helpers: Vec<Arc<str>>,
     /// Key of the stream in the load models of its engines.
-    pub key: StreamKey,
+    pub stream_key: StreamKey,
     /// Latest time at which the attempt may be sent, `None` if its target is not rate-limited.
-    pub turn_until: Option<Tick>,
+    pub send_before: Option<Tick>,
 }
 
 /// State and decisions of the relay of one entry.
@@ -222,7 +222,7 @@
     /// store is not ready, since the other entries serve its callers better.
     #[must_use]
     pub fn is_ready(&self, now: Tick) -> bool {
-        let is_admitting = self.lease.permits_keys(now) && !self.lease.is_behind(now);
+        let is_admitting = self.lease.permits_keys(now) && !self.lease.is_isolated(now);
         is_admitting && self.targets.has_list()
     }
 
@@ -263,21 +263,21 @@
         now: Tick,
     ) -> Result<Access, Refusal> {
         if !self.lease.permits_public() {
-            return Err(Refusal::NotFresh);
+            return Err(Refusal::ConfigUnproven);
         }
         match self.rules.admit(host, path, key) {
             Ok(access) if self.may_serve(&access.route, now) => Ok(access),
-            Ok(_) => Err(Refusal::NotFresh),
+            Ok(_) => Err(Refusal::ConfigUnproven),
             // A newer configuration may contain the route or the key.
-            Err(_) if !self.lease.is_held(now) => Err(Refusal::NotFresh),
+            Err(_) if !self.lease.is_held(now) => Err(Refusal::ConfigUnproven),
             Err(AccessFault::NoRoute) => Err(Refusal::NoRoute),
-            Err(AccessFault::BadKey) => Err(Refusal::BadKey),
+            Err(AccessFault::BadKey) => Err(Refusal::UnknownKey),
         }
     }
 
     /// Returns the failure domains whose targets may run a request, `None` if all may.
     #[must_use]
-    pub fn home_domains(&self, access: &Access) -> Option<Rc<DomainSet>> {
+    pub fn allowed_domains(&self, access: &Access) -> Option<Rc<DomainSet>> {
         if access.permits_all_regions() {
             return None;
         }
@@ -325,9 +325,9 @@
     }
 
     /// Applies a message from an agent.
-    pub fn take_note(&mut self, message: LoadNote, now: Tick) {
+    pub fn apply_message(&mut self, message: LoadNote, now: Tick) {
         match message {
-            LoadNote::Welcome {
+            LoadNote::SubscriptionAck {
                 target,
                 entries,
                 pace_percent,
@@ -337,9 +337,9 @@
                 list_mark,
                 config_mark,
             } => {
-                self.list_share.note_agent(watchers, list_mark, now);
+                self.list_share.record_agent_report(watchers, list_mark, now);
                 if let Some(revision) = config_mark {
-                    self.config_share.note_told(revision, self.config_revision, now);
+                    self.config_share.record_announced(revision, self.config_revision, now);
                 }
                 self.max_subscribers =
                     Some(self.max_subscribers.unwrap_or(0).max(entries as usize));
@@ -348,9 +348,9 @@
                 }
                 if let Some(age) = proof_age_ms {
                     let proven_at = now - Duration::from_millis(age.into());
-                    self.lease.note_other(proven_at);
+                    self.lease.record_other_proof(proven_at);
                     if let Some(address) = proof_from {
-                        self.proof_share.note_source(address, proven_at);
+                        self.proof_share.record_source(address, proven_at);
                     }
                 }
                 if self.limits.policy.follows_pace
@@ -359,12 +359,12 @@
                     model.set_pace(f64::from(pace_percent) / 100.0);
                 }
             }
-            LoadNote::Placed { target, key, load } if key.entry != self.entry => {
+            LoadNote::StreamPlaced { target, key, load } if key.entry != self.entry => {
                 if let Some(model) = self.model(&target) {
                     model.add(key, load, now);
                 }
             }
-            LoadNote::Ended { target, key } if key.entry != self.entry => {
+            LoadNote::StreamEnded { target, key } if key.entry != self.entry => {
                 if let Some(model) = self.model(&target) {
                     model.remove(key);
                 }
@@ -383,7 +383,7 @@
     }
 
     /// Takes the messages that are to be sent to agents.
-    pub fn take_notes(&mut self) -> Vec<LoadNote> {
+    pub fn take_messages(&mut self) -> Vec<LoadNote> {
         let messages = std::mem::take(&mut self.outbox);
         if self.limits.policy.sends_notes { messages } else { Vec::new() }
     }
--- a/src/relay/core/permits.rs
+++ b/src/relay/core/permits.rs
@@ -35,40 +35,40 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct PermitQuery {
     /// The request.
-    pub ask: PermitAsk,
+    pub request: PermitAsk,
     /// When it is sent.
-    pub asked_at: Tick,
+    pub requested_at: Tick,
     /// A target on the host of the agent to send it to, `None` if there is no agent.
-    pub beside: Option<SocketAddr>,
+    pub agent_host: Option<SocketAddr>,
 }
 
 /// A request for a retry from the shared budget, and the agent to send it to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SlackQuery {
     /// The request.
-    pub ask: SlackAsk,
+    pub request: SlackAsk,
     /// A target on the host of the agent to send it to.
-    pub beside: SocketAddr,
+    pub agent_host: SocketAddr,
 }
 
 /// Outcome of a request for a permit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PermitVerdict {
     /// The request may be sent within these times.
-    Turn {
+    SendWithin {
         /// Earliest time.
         from: Tick,
         /// Latest time.
         until: Tick,
     },
     /// The request has to be placed again.
-    Elsewhere,
+    PlaceAgain,
 }
 
 impl RelayCore {
     /// Applies what an answer says of the rate of the target that gave it, to a request sent at
     /// `sent_at`. With `None` for `sent_at`, an answer without a rate says nothing.
-    pub fn take_rate(
+    pub fn apply_rate(
         &mut self,
         instance: &TargetLife,
         stated: RateWord,
@@ -76,9 +76,9 @@
         now: Tick,
     ) {
         let is_changed = match stated {
-            RateWord::Silent => sent_at.is_some_and(|at| self.rates.note_silent(instance, at)),
+            RateWord::Absent => sent_at.is_some_and(|at| self.rates.record_no_limit(instance, at)),
             RateWord::Unreadable => false,
-            RateWord::Named(rate) => self.rates.note_named(instance, rate, now),
+            RateWord::Limit(rate) => self.rates.record_limit(instance, rate, now),
         };
         if is_changed {
             self.update_rate_limits(now);
@@ -86,10 +86,10 @@
     }
 
     /// Applies an agent's rate updates.
-    pub fn take_rates(&mut self, updates: &[RateNews], now: Tick) {
+    pub fn apply_rates(&mut self, updates: &[RateNews], now: Tick) {
         let mut is_changed = false;
         for update in updates {
-            is_changed |= self.rates.take(update, now);
+            is_changed |= self.rates.apply_update(update, now);
         }
         if is_changed {
             self.update_rate_limits(now);
@@ -97,17 +97,17 @@
     }
 
     /// Returns the rate updates that are due to be sent to agents.
-    pub fn to_rates(&mut self, now: Tick) -> Vec<RateNews> {
-        self.rates.to_news(&mut self.announced_rates, now)
+    pub fn to_rate_updates(&mut self, now: Tick) -> Vec<RateNews> {
+        self.rates.to_updates(&mut self.announced_rates, now)
     }
 
     /// Returns updates for the agents that issue permits, each with the address of a target on the
     /// agent's host. Such an agent may have restarted and know no rate.
     #[must_use]
-    pub fn to_giver_rates(&self, now: Tick) -> Vec<(SocketAddr, RateNews)> {
+    pub fn to_issuer_rates(&self, now: Tick) -> Vec<(SocketAddr, RateNews)> {
         let limited = self.targets.iter().filter(|target| target.rate.is_some());
         let updates = limited.filter_map(|target| {
-            let update = self.rates.to_news_of(&target.record.to_life(), now)?;
+            let update = self.rates.to_update(&target.record.to_life(), now)?;
             Some((self.issuer_of(target, false)?, update))
         });
         updates.take(MAX_ISSUERS).collect()
@@ -145,26 +145,26 @@
             rate,
             left_ms: left.as_millis().try_into().unwrap_or(u32::MAX),
         });
-        let news = match self.rates.to_news_of(&life, now) {
+        let news = match self.rates.to_update(&life, now) {
             Some(news) => news,
             None if warmup.is_none() => return None,
             // No rate is known: the maximum age keeps this from counting as an update.
-            None => RateNews { life, rate: None, age_ms: u32::MAX },
+            None => RateNews { instance: life, rate: None, age_ms: u32::MAX },
         };
-        let is_second = target.unheard_at.is_some_and(|at| now.since(at) < FALLBACK_DURATION);
+        let is_second = target.permit_unanswered_at.is_some_and(|at| now.since(at) < FALLBACK_DURATION);
         let ask = PermitAsk {
-            news,
+            rate: news,
             warmup,
-            most_wait_ms: max_wait.as_millis().try_into().unwrap_or(u32::MAX),
+            max_wait_ms: max_wait.as_millis().try_into().unwrap_or(u32::MAX),
             is_second,
         };
-        Some(PermitQuery { ask, asked_at: now, beside: self.issuer_of(target, is_second) })
+        Some(PermitQuery { request: ask, requested_at: now, agent_host: self.issuer_of(target, is_second) })
     }
 
     /// Returns the time until a permit may be granted at a rate-limited target of a service that
     /// is otherwise usable, `None` if there is no such target.
     #[must_use]
-    pub fn time_to_turn<'a>(
+    pub fn time_to_permit<'a>(
         &self,
         service: impl Into<ServiceScope<'a>>,
         now: Tick,
@@ -174,9 +174,9 @@
 
     /// Returns the requests for a retry from the shared budget, to be sent to one agent after the
     /// other. `None` if the agents would refuse.
-    pub fn slack_queries(&mut self, service: &Arc<str>, now: Tick) -> Option<Vec<SlackQuery>> {
+    pub fn retry_grant_queries(&mut self, service: &Arc<str>, now: Tick) -> Option<Vec<SlackQuery>> {
         const MAX_AGENTS: usize = 2;
-        if !self.budget(service).may_ask(now) {
+        if !self.budget(service).may_request(now) {
             return None;
         }
         let RetryBound { slack, window, .. } = self.budget(service).bound();
@@ -186,15 +186,15 @@
             self.ranked_hosts(|host| xxhash_rust::xxh3::xxh3_64_with_seed(host.as_bytes(), seed));
         let agents = [false, true].into_iter().zip(hosts.into_iter().take(MAX_AGENTS));
         let to_query = |(is_second, beside)| SlackQuery {
-            ask: SlackAsk { service: service.clone(), slack, window_ms, is_second },
-            beside,
+            request: SlackAsk { service: service.clone(), slack, window_ms, is_second },
+            agent_host: beside,
         };
         Some(agents.map(to_query).collect())
     }
 
     /// Applies the last answer to these requests, `None` if no agent answered. Returns `true` if a
     /// retry may be made.
-    pub fn take_slack(
+    pub fn apply_retry_grant(
         &mut self,
         service: &Arc<str>,
         reply: Option<PermitReply>,
@@ -204,12 +204,12 @@
         match reply {
             Some(PermitReply::Granted { .. } | PermitReply::Open) => true,
             Some(PermitReply::Refused { wait_ms }) => {
-                budget.note_refused(now + Duration::from_millis(wait_ms.into()));
+                budget.record_refusal(now + Duration::from_millis(wait_ms.into()));
                 false
             }
             None => {
-                budget.note_refused(now + NO_ANSWER_DELAY);
-                budget.take_alone(now)
+                budget.record_refusal(now + NO_ANSWER_DELAY);
+                budget.take_without_agent(now)
             }
         }
     }
@@ -231,37 +231,37 @@
     }
 
     /// Applies the answer to a request for a permit, `None` if no answer came.
-    pub fn take_permit(
+    pub fn apply_permit(
         &mut self,
         query: &PermitQuery,
         reply: Option<PermitReply>,
         now: Tick,
     ) -> PermitVerdict {
-        let instance = &query.ask.news.life;
+        let instance = &query.request.rate.instance;
         if reply == Some(PermitReply::Open) {
             // An answer may have named a rate since the permit was requested.
-            let age_ms = now.since(query.asked_at).as_millis().try_into().unwrap_or(u32::MAX);
-            let update = RateNews { rate: None, age_ms, ..query.ask.news.clone() };
-            self.take_rates(&[update], now);
-            return PermitVerdict::Turn { from: now, until: Tick::NEVER };
+            let age_ms = now.since(query.requested_at).as_millis().try_into().unwrap_or(u32::MAX);
+            let update = RateNews { rate: None, age_ms, ..query.request.rate.clone() };
+            self.apply_rates(&[update], now);
+            return PermitVerdict::SendWithin { from: now, until: Tick::NEVER };
         }
         let target = self.targets.get_mut(&instance.incarnation);
         let Some(target) = target.filter(|target| target.record.to_life() == *instance) else {
-            return PermitVerdict::Elsewhere;
+            return PermitVerdict::PlaceAgain;
         };
         match reply {
             Some(PermitReply::Granted { after_ms }) => {
                 let from = now + Duration::from_millis(after_ms.into());
-                return PermitVerdict::Turn { from, until: from + SEND_WINDOW };
+                return PermitVerdict::SendWithin { from, until: from + SEND_WINDOW };
             }
             Some(PermitReply::Refused { wait_ms }) => {
-                target.close(now + Duration::from_millis(wait_ms.into()), now);
+                target.close_until(now + Duration::from_millis(wait_ms.into()), now);
             }
-            _ if query.ask.is_second || query.beside.is_none() => {
-                target.close(now + NO_ANSWER_DELAY, now);
+            _ if query.request.is_second || query.agent_host.is_none() => {
+                target.close_until(now + NO_ANSWER_DELAY, now);
             }
-            _ => target.unheard_at = Some(now),
+            _ => target.permit_unanswered_at = Some(now),
         }
-        PermitVerdict::Elsewhere
+        PermitVerdict::PlaceAgain
     }
 }
--- a/src/relay/core/quarantine.rs
+++ b/src/relay/core/quarantine.rs
@@ -21,7 +21,7 @@
     }
 
     /// Sets the Unix time of tick zero, in milliseconds.
-    pub fn set_epoch(&mut self, unix_ms: u64) {
+    pub fn set_unix_origin(&mut self, unix_ms: u64) {
         self.unix_origin_ms = unix_ms;
     }
 
@@ -31,21 +31,21 @@
 
     /// Returns the current instance of a target, `None` if the target is unknown.
     #[must_use]
-    pub fn life_of(&self, target: &str) -> Option<TargetLife> {
+    pub fn instance_of(&self, target: &str) -> Option<TargetLife> {
         self.targets.get(target).map(|target| target.record.to_life())
     }
 
     /// Returns `true` if an instance of a target may still be running.
     #[must_use]
-    pub fn may_live(&self, instance: &TargetLife) -> bool {
-        let is_listed = self.life_of(&instance.incarnation).as_ref() == Some(instance);
-        is_listed && !self.quarantine.has_ended(instance)
+    pub fn may_be_running(&self, instance: &TargetLife) -> bool {
+        let is_listed = self.instance_of(&instance.incarnation).as_ref() == Some(instance);
+        is_listed && !self.quarantine.has_crashed(instance)
     }
 
     /// Records that an attempt of a suspect was sent to its target.
     pub fn mark_suspect(&mut self, attempt: &mut AttemptShare) {
-        if let Some(instance) = &attempt.life {
-            self.quarantine.note_sent(instance);
+        if let Some(instance) = &attempt.instance {
+            self.quarantine.record_sent(instance);
             attempt.is_suspect = true;
         }
     }
@@ -53,25 +53,25 @@
     /// Returns the targets that have attempts of suspects from this entry.
     #[must_use]
     pub fn suspect_targets(&self) -> Vec<Arc<str>> {
-        self.quarantine.open_targets().map(|instance| instance.incarnation.clone()).collect()
+        self.quarantine.suspect_targets().map(|instance| instance.incarnation.clone()).collect()
     }
 
     /// Records a broken connection of an attempt that had received events for `settled`.
-    pub fn note_broken(
+    pub fn record_broken(
         &mut self,
         digest: RequestDigest,
         instance: &TargetLife,
         settled: Duration,
         now: Tick,
     ) {
-        let report = self.quarantine.note_broken(digest, instance, settled, now);
-        self.outbox.extend(report.map(LoadNote::Suspected));
+        let report = self.quarantine.record_broken(digest, instance, settled, now);
+        self.outbox.extend(report.map(LoadNote::RequestSuspected));
     }
 
     /// Records that a target refuses connections. Returns `true` if that proves a crash.
-    pub fn note_unreachable(&mut self, instance: &TargetLife, now: Tick) -> bool {
+    pub fn record_unreachable(&mut self, instance: &TargetLife, now: Tick) -> bool {
         let target = self.targets.get_mut(&instance.incarnation);
-        let has_crashed = target.is_some_and(|target| target.note_unreachable(now));
+        let has_crashed = target.is_some_and(|target| target.record_unreachable(now));
         if has_crashed {
             self.record_crash(instance, now);
         }
@@ -80,10 +80,10 @@
 
     /// Records an agent's report that the engine on its host has crashed. `next_ms` is the start of
     /// the following instance, if there is one.
-    pub fn note_exited(&mut self, host: IpAddr, next_ms: Option<u64>, now: Tick) {
+    pub fn record_exit(&mut self, host: IpAddr, next_ms: Option<u64>, now: Tick) {
         let engines = self.targets.iter().filter(|target| target.model.is_some());
         let on_host = engines.filter(|target| target.record.address.ip() == host);
-        let former = on_host.filter(|target| next_ms.is_none_or(|at| target.record.born_ms < at));
+        let former = on_host.filter(|target| next_ms.is_none_or(|at| target.record.started_ms < at));
         let instances: Vec<_> = former.map(|target| target.record.to_life()).collect();
         for instance in instances {
             self.record_crash(&instance, now);
@@ -91,37 +91,37 @@
     }
 
     pub(super) fn record_crashes(&mut self, change: &ListChange, now: Tick) {
-        for instance in &change.ended {
+        for instance in &change.crashed {
             self.record_crash(instance, now);
         }
     }
 
     fn record_crash(&mut self, instance: &TargetLife, now: Tick) {
-        let reports = self.quarantine.note_ended(instance, now);
-        self.outbox.extend(reports.into_iter().map(LoadNote::Suspected));
+        let reports = self.quarantine.record_crash(instance, now);
+        self.outbox.extend(reports.into_iter().map(LoadNote::RequestSuspected));
     }
 
     /// Records that a target answered a request.
-    pub fn note_answered(&mut self, digest: RequestDigest) {
-        if self.quarantine.note_served(&digest) {
-            self.outbox.push(LoadNote::Cleared(digest));
+    pub fn record_answered(&mut self, digest: RequestDigest) {
+        if self.quarantine.record_served(&digest) {
+            self.outbox.push(LoadNote::RequestCleared(digest));
         }
     }
 
     /// Applies an agent's report of a suspect.
-    pub fn take_suspect(&mut self, report: &SuspectNews, now: Tick) {
-        self.quarantine.take_news(report, now);
+    pub fn apply_suspect_report(&mut self, report: &SuspectNews, now: Tick) {
+        self.quarantine.apply_report(report, now);
     }
 
     /// Applies an agent's report that a target answered a request.
-    pub fn take_cleared(&mut self, digest: &RequestDigest) {
-        self.quarantine.note_served(digest);
+    pub fn apply_cleared(&mut self, digest: &RequestDigest) {
+        self.quarantine.record_served(digest);
     }
 
     /// Decides which requests are quarantined. Returns those added since the last call.
-    pub fn decide_holds(&mut self, now: Tick) -> Vec<RequestDigest> {
+    pub fn decide_quarantine(&mut self, now: Tick) -> Vec<RequestDigest> {
         self.quarantine.decide(now);
-        self.quarantine.take_found()
+        self.quarantine.take_quarantined()
     }
 
     /// Returns the records that the store should keep, if a write is due.
@@ -129,14 +129,14 @@
         let unix_ms = self.unix_ms(now);
         // Without a configuration there is no object to write them to.
         (!self.config_revision.is_unknown())
-            .then(|| self.quarantine.to_write(unix_ms, now))
+            .then(|| self.quarantine.due_records(unix_ms, now))
             .flatten()
     }
 
     /// Records that the store keeps these records, in an object that now has this revision.
     /// Returns `false` if the object has to be read again: a store that was restored from a backup
     /// may give out the same revision again with other content.
-    pub fn note_written(
+    pub fn record_written(
         &mut self,
         records: &[QuarantineRecord],
         revision: StoreRevision,
@@ -147,7 +147,7 @@
         }
         self.set_config_revision(revision);
         let unix_ms = self.unix_ms(now);
-        self.quarantine.take_records(records, unix_ms, now);
+        self.quarantine.apply_records(records, unix_ms, now);
         true
     }
 }
--- a/src/relay/core/target_list.rs
+++ b/src/relay/core/target_list.rs
@@ -20,7 +20,7 @@
     /// The revision of the last change before them.
     pub since: StoreRevision,
     /// The revision that they lead to.
-    pub mark: StoreRevision,
+    pub revision: StoreRevision,
     /// Time after which the store accepted them.
     pub known_at: Tick,
 }
@@ -31,18 +31,18 @@
 }
 
 impl RelayCore {
-    /// Applies a whole list of targets, after [`RelayCore::note_list`].
-    pub fn take_list(
+    /// Applies a whole list of targets, after [`RelayCore::record_list`].
+    pub fn apply_list(
         &mut self,
         records: Vec<TargetRecord>,
         is_after_outage: bool,
         now: Tick,
     ) -> ListChange {
         let had_list = self.targets.has_list();
-        let change = self.targets.take_list(records, is_after_outage, now);
+        let change = self.targets.apply_list(records, is_after_outage, now);
         self.record_crashes(&change, now);
         if had_list && !change.is_empty() {
-            self.list_share.note_difference();
+            self.list_share.record_difference();
         }
         self.set_engine_rates(now);
         self.choose_engines(now);
@@ -53,7 +53,7 @@
     /// change, and the update to announce to other entries. The update is `None` for the first
     /// list of a process, and after an outage, when each entry decides for itself which missing
     /// targets may still come back.
-    pub fn take_reread(
+    pub fn apply_reread(
         &mut self,
         list: TargetList,
         is_after_outage: bool,
@@ -61,14 +61,14 @@
         now: Tick,
     ) -> (ListChange, Option<ListNews>) {
         let is_announced = self.targets.has_list() && !is_after_outage;
-        let since = self.list_share.mark();
-        self.note_list(list.revision, list.changed_at);
-        let change = self.take_list(list.records, is_after_outage, now);
-        let mark = self.list_share.mark();
+        let since = self.list_share.changed_at();
+        self.record_list(list.revision, list.changed_at);
+        let change = self.apply_list(list.records, is_after_outage, now);
+        let mark = self.list_share.changed_at();
         let is_announced = is_announced && !change.is_empty() && mark.epoch == since.epoch;
         let age_ms = to_age_ms(now.since(known_at));
         let changes = || self.to_changes(&change);
-        let update = is_announced.then(|| ListNews { since, mark, age_ms, changes: changes() });
+        let update = is_announced.then(|| ListNews { since, revision: mark, age_ms, changes: changes() });
         (change, update)
     }
 
@@ -91,7 +91,7 @@
         let change = self.targets.expire(now);
         self.record_crashes(&change, now);
         if !change.is_empty() {
-            self.list_share.note_difference();
+            self.list_share.record_difference();
         }
         self.expired.join(change);
     }
@@ -100,7 +100,7 @@
     pub fn choose_engines(&mut self, now: Tick) {
         self.update_rate_limits(now);
         let RelayLimits { failure_domain, policy, .. } = &self.limits;
-        let query = SubsetQuery { entry: self.entry, failure_domain, most: policy.most_engines };
+        let query = SubsetQuery { entry: self.entry, failure_domain, max_engines: policy.most_engines };
         let services: Vec<_> = self.engine_services().into_iter().collect();
         mark_used(&mut self.targets, &services, query, now);
     }
@@ -110,7 +110,7 @@
     pub(super) fn set_engine_rates(&mut self, now: Tick) {
         if self.config.is_some() {
             let rules = self.rules.clone();
-            let change = self.targets.note_services(|name| rules.service(name).is_some());
+            let change = self.targets.set_services(|name| rules.service(name).is_some());
             self.record_crashes(&change, now);
         }
         let bound = self.limits.warmup_bound;
@@ -131,8 +131,8 @@
     }
 
     /// Applies a change of one target.
-    pub fn take_change(&mut self, record: TargetRecord, now: Tick) -> ListChange {
-        let change = self.targets.take_change(record, now);
+    pub fn apply_change(&mut self, record: TargetRecord, now: Tick) -> ListChange {
+        let change = self.targets.apply_change(record, now);
         self.record_crashes(&change, now);
         self.set_engine_rates(now);
         self.choose_engines(now);
@@ -140,7 +140,7 @@
     }
 
     fn apply_removal(&mut self, name: &str, outage_removal: Option<Tick>, now: Tick) -> ListChange {
-        let change = self.targets.take_removal(name, outage_removal, now);
+        let change = self.targets.apply_removal(name, outage_removal, now);
         self.record_crashes(&change, now);
         change
     }
@@ -153,25 +153,25 @@
 
     /// Records a list that was read and is current at `revision`. Its targets last changed at
     /// `changed_at`.
-    pub fn note_list(&mut self, revision: StoreRevision, changed_at: StoreRevision) {
-        self.list_share.note_list(revision, changed_at);
+    pub fn record_list(&mut self, revision: StoreRevision, changed_at: StoreRevision) {
+        self.list_share.record_list(revision, changed_at);
     }
 
     /// Applies changes that this entry's own watch received. Returns the change, and the update to
     /// announce to other entries, `None` if another entry has announced all of it.
-    pub fn take_watched(
+    pub fn apply_watched(
         &mut self,
         watched: WatchedChanges,
         is_after_outage: bool,
         now: Tick,
     ) -> (ListChange, Option<ListNews>) {
-        let WatchedChanges { changes, mark, known_at, .. } = watched;
+        let WatchedChanges { changes, revision: mark, known_at, .. } = watched;
         if changes.is_empty() {
             return (ListChange::default(), None);
         }
-        let known = self.list_share.known();
+        let known = self.list_share.known_up_to();
         // Of two consecutive revisions the earlier one is the safer start.
-        let since = if known > watched.since { self.list_share.mark() } else { watched.since };
+        let since = if known > watched.since { self.list_share.changed_at() } else { watched.since };
         let is_new = |revision: StoreRevision| revision > known || revision.number == 0;
         let is_announced = |(revision, change): &&(StoreRevision, TargetChange)| {
             // Some stores name no own revision for a removal.
@@ -181,31 +181,31 @@
             changes.iter().filter(is_announced).map(|(_, change)| change.clone()).collect();
         let changes: Vec<_> = changes.into_iter().map(|(_, change)| change).collect();
         let change = self.apply_changes(&changes, is_after_outage.then_some(known_at), now);
-        self.list_share.note_watched(mark);
+        self.list_share.record_watched(mark);
         let age_ms = to_age_ms(now.since(known_at));
-        let update = (mark > known).then_some(ListNews { since, mark, age_ms, changes: announced });
+        let update = (mark > known).then_some(ListNews { since, revision: mark, age_ms, changes: announced });
         (change, update)
     }
 
     /// Records that all changes of the list up to `revision` have been announced to other entries.
-    pub fn note_list_announced(&mut self, revision: StoreRevision) {
-        self.list_share.note_announced(revision);
+    pub fn record_list_announced(&mut self, revision: StoreRevision) {
+        self.list_share.record_announced(revision);
     }
 
     /// Records that the store has no changes of the list up to `revision` that are unknown here.
-    pub fn note_caught_up(&mut self, revision: StoreRevision) {
-        self.list_share.note_caught_up(revision);
+    pub fn record_caught_up(&mut self, revision: StoreRevision) {
+        self.list_share.record_caught_up(revision);
     }
 
     /// Applies changes that another entry announced. Each entry decides for itself whether the
     /// store was unreachable, since the store may have refused only the other one.
-    pub fn take_list_news(
+    pub fn apply_list_update(
         &mut self,
         update: &ListNews,
         is_after_outage: bool,
         now: Tick,
     ) -> ListChange {
-        match self.list_share.take_news(update, now) {
+        match self.list_share.apply_update(update, now) {
             NewsVerdict::Next => {
                 let known_at = now - Duration::from_millis(update.age_ms.into());
                 self.apply_changes(&update.changes, is_after_outage.then_some(known_at), now)
@@ -223,7 +223,7 @@
         let mut total = ListChange::default();
         for change in changes {
             total.join(match change {
-                TargetChange::Listed(record) => self.take_change(record.clone(), now),
+                TargetChange::Listed(record) => self.apply_change(record.clone(), now),
                 TargetChange::Removed(name) => self.apply_removal(name, outage_removal, now),
             });
         }
@@ -232,13 +232,13 @@
 
     /// Decides periodically whether this entry watches the list. Returns `true` if that changed.
     pub fn decide_watching(&mut self, now: Tick) -> bool {
-        if self.list_share.begin(self.targets.iter().count(), rand::random(), now) {
+        if self.list_share.choose_initial_watchers(self.targets.iter().count(), rand::random(), now) {
             return true;
         }
         let engines = || self.targets.iter().filter(|target| target.model.is_some());
         let used = engines().filter(|target| target.is_used).count();
         let used_fraction = used as f64 / engines().count().max(1) as f64;
         let entries = self.fleet_entries().unwrap_or(1);
-        self.list_share.decide(used_fraction, entries, rand::random(), now)
+        self.list_share.decide_watching(used_fraction, entries, rand::random(), now)
     }
 }
--- a/src/relay/counts.rs
+++ b/src/relay/counts.rs
@@ -144,7 +144,7 @@
 
 impl RelayCounts {
     /// Counts the outcome of a request.
-    pub(crate) fn note_end(&mut self, end: RequestEnd) {
+    pub(crate) fn record_end(&mut self, end: RequestEnd) {
         let count = match end {
             RequestEnd::Answered => &mut self.answered,
             RequestEnd::Refused => &mut self.refused,
@@ -156,16 +156,16 @@
     }
 
     /// Counts a finished call to the store.
-    pub(crate) fn note_store_call(&self, call: StoreCall) {
+    pub(crate) fn record_store_call(&self, call: StoreCall) {
         self.store_calls.with_label_values(&[call.as_str()]).inc();
     }
 
     /// Counts what an answer said of its target.
-    pub(crate) fn note_notice(&self, notice: &TargetNotice) {
+    pub(crate) fn record_notice(&self, notice: &TargetNotice) {
         let kinds = [
             ("leaving", notice.is_leaving),
             ("backoff", notice.backoff.is_some()),
-            ("rate", notice.rate != RateWord::Silent),
+            ("rate", notice.rate != RateWord::Absent),
         ];
         for (kind, _) in kinds.into_iter().filter(|(_, is_present)| *is_present) {
             self.notices.with_label_values(&[kind]).inc();
@@ -173,7 +173,7 @@
     }
 
     /// Counts the outcome of a request for a permit, `None` if no answer came.
-    pub(crate) fn note_permit(&self, reply: Option<PermitReply>) {
+    pub(crate) fn record_permit(&self, reply: Option<PermitReply>) {
         let kind = match reply {
             Some(PermitReply::Granted { .. }) => "granted",
             Some(PermitReply::Refused { .. }) => "refused",
@@ -184,12 +184,12 @@
     }
 
     /// Counts a failure answered by the relay itself. `code` is one of a small, fixed set.
-    pub(crate) fn note_fault(&self, code: &'static str) {
+    pub(crate) fn record_fault(&self, code: &'static str) {
         self.faults.with_label_values(&[code]).inc();
     }
 
     /// Records the time to the first event of a stream.
-    pub(crate) fn note_first(&self, prompt_tokens: u64, first: Duration) {
+    pub(crate) fn record_first_event(&self, prompt_tokens: u64, first: Duration) {
         let length = length_class(prompt_tokens);
         self.first_event.with_label_values(&[length]).observe(first.as_secs_f64());
     }
@@ -220,7 +220,7 @@
         self.serves_unproven.set(i64::from(is_unproven));
         self.store_epoch.set(core.store_epoch() as i64);
         self.targets.set(core.targets.iter().count() as i64);
-        self.quarantined.set(core.quarantine().holds().held_count(now) as i64);
+        self.quarantined.set(core.quarantine().quarantined().active_count(now) as i64);
         self.registry.to_text()
     }
 }
--- a/src/relay/decide/engine_rates.rs
+++ b/src/relay/decide/engine_rates.rs
@@ -22,12 +22,12 @@
     pub step_ms: f64,
     /// Additional time of a step for each decoding stream, in milliseconds.
     #[serde(rename = "per_writer_ms")]
-    pub per_writer_ms: f64,
+    pub per_stream_ms: f64,
     /// Additional time of a step for each thousand tokens of context, in milliseconds.
     pub context_ms_per_k: f64,
     /// Prompt tokens that are prefilled in a second.
     #[serde(rename = "read_per_s")]
-    pub read_per_s: f64,
+    pub prefill_per_s: f64,
     /// Time for a million pairs of a token and an earlier token that it attends to, in
     /// milliseconds.
     pub pairs_ms_per_m: f64,
@@ -36,33 +36,33 @@
 impl EngineRates {
     /// Time to prefill a whole prompt on one engine.
     #[must_use]
-    pub fn read_time(&self, tokens: u64) -> Duration {
+    pub fn prefill_time(&self, tokens: u64) -> Duration {
         let pairs = tokens as f64 * tokens as f64 / 2.0 / 1e6 * self.pairs_ms_per_m;
-        from_ms(self.linear_ms(tokens) + pairs)
+        from_ms(self.linear_prefill_ms(tokens) + pairs)
     }
 
     /// Time to prefill a number of tokens without the time for pairs with earlier tokens, in
     /// milliseconds.
     #[must_use]
-    pub fn linear_ms(&self, tokens: u64) -> f64 {
-        tokens as f64 / self.read_per_s * 1e3
+    pub fn linear_prefill_ms(&self, tokens: u64) -> f64 {
+        tokens as f64 / self.prefill_per_s * 1e3
     }
 
     /// Decoding time of a pass for `streams` streams with `context` tokens together, in
     /// milliseconds.
     #[must_use]
-    pub fn write_ms(&self, streams: usize, context: u64) -> f64 {
+    pub fn decode_ms(&self, streams: usize, context: u64) -> f64 {
         if streams == 0 {
             return 0.0;
         }
         let context = context as f64 / 1e3 * self.context_ms_per_k;
-        let step = self.step_ms + streams as f64 * self.per_writer_ms + context;
+        let step = self.step_ms + streams as f64 * self.per_stream_ms + context;
         step * f64::from(self.stride)
     }
 
     /// Maximum number of prompt tokens that are prefilled in a pass with decoding streams.
     #[must_use]
-    pub fn pass_tokens(&self) -> f64 {
+    pub fn pass_prefill_tokens(&self) -> f64 {
         (self.step_tokens * u64::from(self.stride)) as f64
     }
 
--- a/src/relay/decide/engine_snapshot.rs
+++ b/src/relay/decide/engine_snapshot.rs
@@ -137,7 +137,7 @@
         enqueue(&mut queue, PendingPrefill::new(CANDIDATE, *load, self.now));
         let simulated = self.simulate(queue, CANDIDATE);
         let context = self.streams.iter().map(|stream| stream.context).sum::<u64>() + load.context;
-        let steady_ms = self.rates.write_ms(self.streams.len() + 1, context) * self.pace;
+        let steady_ms = self.rates.decode_ms(self.streams.len() + 1, context) * self.pace;
         let candidate = simulated.streams.iter().find(|stream| stream.is_candidate);
         PassForecast {
             time_to_prefill: simulated.tracked_end.unwrap_or_default(),
@@ -216,8 +216,8 @@
     fn run_pass(&mut self) {
         let rates = self.snapshot.rates;
         let context = self.streams.iter().map(|stream| stream.context).sum();
-        let mut budget = rates.pass_tokens();
-        let mut length_ms = rates.write_ms(self.streams.len(), context);
+        let mut budget = rates.pass_prefill_tokens();
+        let mut length_ms = rates.decode_ms(self.streams.len(), context);
         for pending in &mut self.queue {
             let (tokens, prefill_ms) = pending.prefill(budget, rates);
             budget -= tokens;
@@ -242,7 +242,7 @@
             self.tracked_end = Some(self.time);
         }
         let shard = self.to_shard(prefill);
-        if load.is_part {
+        if load.is_shard {
             self.shards.push(shard);
         } else if !is_candidate {
             self.loss += first_event_loss(shard.value, shard.first_event, shard.first_event_limit);
@@ -258,7 +258,7 @@
         let load = &prefill.load;
         let since = self.snapshot.now.since(prefill.placed_at);
         // A shard that is prefilled before the others of its prompt does not delay the prompt.
-        let start = Duration::from_micros(load.start_us).max(since + self.time);
+        let start = Duration::from_micros(load.first_event_us).max(since + self.time);
         PrefillShard {
             key: prefill.key,
             first_event: Duration::from_micros(load.waited_us) + start,
--- a/src/relay/decide/engine_subset.rs
+++ b/src/relay/decide/engine_subset.rs
@@ -28,7 +28,7 @@
     /// Failure domain of the entry.
     pub failure_domain: &'a str,
     /// Maximum number of engines of a service; zero for all.
-    pub most: usize,
+    pub max_engines: usize,
 }
 
 /// Marks the engines of each service that an entry uses. Ejected engines are replaced by others
@@ -55,9 +55,9 @@
     let mut engines: Vec<_> =
         // An engine that is only waiting for a permit stays in the subset.
         set.of_service(service)
-            .filter(|target| target.is_willing(now) && !target.is_ejected(now))
+            .filter(|target| target.is_accepting(now) && !target.is_ejected(now))
             .collect();
-    if query.most == 0 || engines.len() <= query.most {
+    if query.max_engines == 0 || engines.len() <= query.max_engines {
         return None;
     }
     let rank = |target: &TargetState| {
@@ -67,9 +67,9 @@
     engines.sort_by_cached_key(|target| Reverse(rank(target)));
     let is_near = |target: &TargetState| *target.record.failure_domain == *query.failure_domain;
     let (near, far): (Vec<_>, Vec<_>) = engines.into_iter().partition(|target| is_near(target));
-    let near_count = near.len().min(query.most / NEAR_DIVISOR);
+    let near_count = near.len().min(query.max_engines / NEAR_DIVISOR);
     let rest = near[near_count..].iter();
-    let all = near[..near_count].iter().chain(&far).chain(rest).take(query.most);
+    let all = near[..near_count].iter().chain(&far).chain(rest).take(query.max_engines);
     let mut names: Vec<_> = all.map(|target| target.record.incarnation.clone()).collect();
     names.sort_unstable();
     Some(names)
--- a/src/relay/decide/evacuation.rs
+++ b/src/relay/decide/evacuation.rs
@@ -33,7 +33,7 @@
     /// Applies the domains that were out of service at `proven_at`, in an epoch of the store.
     ///
     /// Returns `true` if that changes the set.
-    pub fn take(
+    pub fn apply(
         &mut self,
         domains: impl IntoIterator<Item = Arc<str>>,
         epoch: u64,
--- a/src/relay/decide/group_search.rs
+++ b/src/relay/decide/group_search.rs
@@ -67,7 +67,7 @@
         }
     }
     let prefill_cost = search.price * search.prefill_time.as_secs_f32();
-    best.map(|best| Placement { claim: best.claim + prefill_cost, ..best })
+    best.map(|best| Placement { opportunity_cost: best.opportunity_cost + prefill_cost, ..best })
 }
 
 /// Time from the arrival of each sharded prompt until its last shard is prefilled, as far as
@@ -150,7 +150,7 @@
             need,
             rates,
             starts: PromptStarts::from_engines(&engines),
-            prefill_time: rates.read_time(need.prompt),
+            prefill_time: rates.prefill_time(need.prompt_tokens),
             price: engine_price(&engines, query.policy),
             engines,
         })
@@ -168,7 +168,7 @@
     fn best_of_size(&self, size: usize) -> Option<Placement> {
         let GroupSearch { need, rates, .. } = self;
         let policy = self.query.policy;
-        let load = need.to_load(self.prefill_time, size, 1, rates.passes(need.answer));
+        let load = need.to_load(self.prefill_time, size, 1, rates.passes(need.answer_tokens));
         let decoder = self.best_decoder(&load, size)?;
         let mut helpers = self.best_helpers(size, &decoder)?;
         let memory_plan = plan_reservations(need, rates.memory_tokens, &decoder, &mut helpers)?;
@@ -182,14 +182,14 @@
         Some(Placement {
             target: decoder.target.record.incarnation.clone(),
             helpers: names.collect(),
-            seats: memory_plan,
-            first: start,
+            reservations: memory_plan,
+            first_event: start,
             cost: own_cost + cost_to_future + cost_to_others + group_cost,
-            harm: cost_to_others,
-            own: own_cost.min(need.value() * LATE_LOSS),
-            claim: cost_to_future,
+            delay_cost: cost_to_others,
+            own_loss: own_cost.min(need.value() * LATE_LOSS),
+            opportunity_cost: cost_to_future,
             candidates: self.engines.len(),
-            turn_until: None,
+            send_before: None,
         })
     }
 
@@ -197,7 +197,7 @@
     /// `size` engines can hold. The memory check lowers the refused short prompts from 267 to 0 of
     /// 2,442, in replayed load with alternating phases of 3 s.
     fn best_decoder(&self, load: &StreamLoad, size: usize) -> Option<Candidate<'a>> {
-        let min_memory = (self.need.prompt + self.need.answer).div_ceil(size as u64);
+        let min_memory = (self.need.prompt_tokens + self.need.answer_tokens).div_ceil(size as u64);
         let has_memory =
             |member: &Candidate<'_>| member.free_memory(self.rates.memory_tokens) >= min_memory;
         let cost = |member: &Candidate<'_>| {
@@ -244,7 +244,7 @@
         if active > 0 {
             return queue;
         }
-        let decode_ms = self.rates.write_ms(1, load.context) * f64::from(load.passes);
+        let decode_ms = self.rates.decode_ms(1, load.context) * f64::from(load.passes);
         let share = policy.writer_share / capacity.max(1) as f32;
         queue + self.price * share * decode_ms as f32 / 1e3
     }
@@ -268,7 +268,7 @@
             let more_free = (capacity - active) as i32 - 1;
             cost += policy.near_full_cost * policy.near_full_decay.powi(more_free);
         }
-        if active < capacity && need.prompt <= SHORT_TOKENS && decoder.target.rate.is_none() {
+        if active < capacity && need.prompt_tokens <= SHORT_TOKENS && decoder.target.rate.is_none() {
             let packed = active.min(capacity - capacity / policy.kept_free_divisor);
             cost -= policy.packing_gain * packed as f32;
             cost += policy.spread * self.query.preference(&record.incarnation);
@@ -295,7 +295,7 @@
     decoder: &Candidate<'_>,
     helpers: &mut [Candidate<'_>],
 ) -> Option<Vec<MemoryReservation>> {
-    let memory = need.prompt + need.answer;
+    let memory = need.prompt_tokens + need.answer_tokens;
     let own_memory = decoder.free_memory(memory_tokens);
     if memory <= own_memory {
         return Some(Vec::new());
--- a/src/relay/decide/hold_list.rs
+++ b/src/relay/decide/hold_list.rs
@@ -128,14 +128,14 @@
 
     /// Returns the time left in quarantine; `None` if the request may be sent.
     #[must_use]
-    pub fn held_for(&self, digest: &RequestDigest, now: Tick) -> Option<Duration> {
+    pub fn quarantine_left(&self, digest: &RequestDigest, now: Tick) -> Option<Duration> {
         let left = self.states.get(digest)?.expires_at.since(now);
         (!left.is_zero()).then_some(left)
     }
 
     /// Returns the number of requests that are quarantined at `now`.
     #[must_use]
-    pub fn held_count(&self, now: Tick) -> usize {
+    pub fn active_count(&self, now: Tick) -> usize {
         self.states.values().filter(|state| state.expires_at > now).count()
     }
 
--- a/src/relay/decide/pass_model.rs
+++ b/src/relay/decide/pass_model.rs
@@ -211,7 +211,7 @@
 
     fn start_pass(&mut self, at: Tick) {
         let before = self.queue.clone();
-        let mut budget = self.rates.pass_tokens();
+        let mut budget = self.rates.pass_prefill_tokens();
         let mut prefill_ms = 0.0;
         for prefill in &mut self.queue {
             let (tokens, time_ms) = prefill.prefill(budget, &self.rates);
@@ -220,7 +220,7 @@
         }
         let (done, queue) = self.queue.iter().partition(|prefill| prefill.is_done());
         self.queue = queue;
-        let length = prefill_ms + self.rates.write_ms(self.streams.len(), self.context());
+        let length = prefill_ms + self.rates.decode_ms(self.streams.len(), self.context());
         let end = at + from_ms(length * self.pace);
         self.pass = Some(OpenPass { start: at, end, prefills: done, queue: before });
     }
@@ -254,7 +254,7 @@
     }
 
     /// Records the first event of a stream at `at`, which shows that its prompt is prefilled.
-    pub fn note_first(&mut self, key: StreamKey, at: Tick) {
+    pub fn record_first_event(&mut self, key: StreamKey, at: Tick) {
         self.advance(at);
         let Some(index) = self.queue.iter().position(|prefill| prefill.key == key) else { return };
         let prefill = self.queue.remove(index);
@@ -266,7 +266,7 @@
 
     /// Records the arrival of events that the engine sent at `at`, which shows that a pass has
     /// ended.
-    pub fn note_pass(&mut self, at: Tick) {
+    pub fn record_pass_end(&mut self, at: Tick) {
         self.advance(at);
         let Some(pass) = &self.pass else { return };
         if at.since(pass.start) < SAME_PASS_WINDOW {
@@ -285,7 +285,7 @@
     /// engine that prefilled for another 1.5 s and more.
     fn requeue_unfinished(&mut self, at: Tick) {
         // The start of a pass that this entry did not see is known to within one decode pass.
-        let uncertainty_ms = self.rates.write_ms(self.streams.len(), self.context()) * self.pace;
+        let uncertainty_ms = self.rates.decode_ms(self.streams.len(), self.context()) * self.pace;
         let Some(pass) = &mut self.pass else { return };
         let max_ms = at.since(pass.start).as_secs_f64() * 1e3 + uncertainty_ms;
         let min_fraction = self.pace * MIN_PREFILL_FRACTION;
@@ -342,7 +342,7 @@
 
     /// Time until a known stream is prefilled; zero if it already is.
     #[must_use]
-    pub fn time_to_read(&self, key: StreamKey, now: Tick) -> Duration {
+    pub fn time_to_prefill(&self, key: StreamKey, now: Tick) -> Duration {
         let in_pass = self
             .pass
             .as_ref()
--- a/src/relay/decide/pending_prefill.rs
+++ b/src/relay/decide/pending_prefill.rs
@@ -34,7 +34,7 @@
     /// pairs of tokens, in milliseconds.
     fn split_ms(&self, rates: &EngineRates) -> (f64, f64) {
         let all = self.load.prefill_us as f64 / 1e3;
-        let linear = rates.linear_ms(self.load.tokens).min(all);
+        let linear = rates.linear_prefill_ms(self.load.tokens).min(all);
         (linear, all - linear)
     }
 
@@ -80,7 +80,7 @@
 
 /// Adds a prefill to the queue: shards at its head, whole prompts at its end.
 pub(super) fn enqueue(queue: &mut Vec<PendingPrefill>, prefill: PendingPrefill) {
-    if prefill.load.is_part {
+    if prefill.load.is_shard {
         queue.insert(0, prefill);
     } else {
         queue.push(prefill);
@@ -89,7 +89,7 @@
 
 /// Puts a prefill back to its former position in the queue.
 pub(super) fn reinsert(queue: &mut Vec<PendingPrefill>, prefill: PendingPrefill) {
-    let is_before = |other: &PendingPrefill| match (other.load.is_part, prefill.load.is_part) {
+    let is_before = |other: &PendingPrefill| match (other.load.is_shard, prefill.load.is_shard) {
         (true, true) => other.placed_at > prefill.placed_at,
         (false, false) => other.placed_at < prefill.placed_at,
         (is_shard, _) => is_shard,
--- a/src/relay/decide/permit_desk.rs
+++ b/src/relay/decide/permit_desk.rs
@@ -34,13 +34,13 @@
 pub struct PermitAsk {
     /// What the entry knows about the target's rate, as the agent may have restarted since.
     #[serde(rename = "r")]
-    pub news: RateNews,
+    pub rate: RateNews,
     /// The limit of the target while it is cold.
     #[serde(rename = "c", default, skip_serializing_if = "Option::is_none")]
     pub warmup: Option<WarmupNews>,
     /// Maximum time that the request would wait for its permit, in milliseconds.
     #[serde(rename = "w")]
-    pub most_wait_ms: u32,
+    pub max_wait_ms: u32,
     /// Whether this agent is the second, asked because the first did not answer.
     #[serde(rename = "s")]
     pub is_second: bool,
@@ -143,19 +143,19 @@
 
 impl PermitDesk {
     /// Answers the request of an entry.
-    pub fn on_ask(&mut self, request: &PermitAsk, now: Tick) -> PermitReply {
-        self.rates.take(&request.news, now);
-        let instance = &request.news.life;
+    pub fn on_request(&mut self, request: &PermitAsk, now: Tick) -> PermitReply {
+        self.rates.apply_update(&request.rate, now);
+        let instance = &request.rate.instance;
         if let Some(warmup) = request.warmup {
             self.record_cold(instance, warmup, now);
         }
         let Some(rate) = self.rate_of(instance, now) else { return PermitReply::Open };
-        let max_wait = Duration::from_millis(request.most_wait_ms.into());
+        let max_wait = Duration::from_millis(request.max_wait_ms.into());
         self.schedule(instance, request.is_second, rate, now).request(max_wait, now)
     }
 
     /// Counts a request that an entry had to send without a permit against the schedule.
-    pub fn note_spent(&mut self, instance: &TargetLife, now: Tick) {
+    pub fn record_unpermitted(&mut self, instance: &TargetLife, now: Tick) {
         if let Some(rate) = self.rate_of(instance, now) {
             let schedule = self.schedule(instance, false, rate, now);
             schedule.next_at = schedule.next_at.max(now - schedule.interval) + schedule.interval;
@@ -164,20 +164,20 @@
 
     /// Returns `true` if any instance of the named target is rate-limited.
     #[must_use]
-    pub fn is_scarce(&self, name: &str) -> bool {
-        self.rates.is_scarce(name)
+    pub fn is_rate_limited(&self, name: &str) -> bool {
+        self.rates.is_rate_limited(name)
     }
 
     /// Applies the rate limits that an entry knows.
-    pub fn take_news(&mut self, updates: &[RateNews], now: Tick) {
+    pub fn apply_updates(&mut self, updates: &[RateNews], now: Tick) {
         for update in updates {
-            self.rates.take(update, now);
+            self.rates.apply_update(update, now);
         }
     }
 
     /// Returns the updates for the next message to an entry, and records them in `announced`.
-    pub fn to_news(&mut self, announced: &mut RateTold, now: Tick) -> Vec<RateNews> {
-        self.rates.to_news(announced, now)
+    pub fn to_updates(&mut self, announced: &mut RateTold, now: Tick) -> Vec<RateNews> {
+        self.rates.to_updates(announced, now)
     }
 
     /// Removes outdated rates, cold targets and schedules.
--- a/src/relay/decide/placement.rs
+++ b/src/relay/decide/placement.rs
@@ -24,11 +24,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct PromptNeed {
     /// Tokens of the prompt.
-    pub prompt: u64,
+    pub prompt_tokens: u64,
     /// Expected tokens of the answer.
-    pub answer: u64,
+    pub answer_tokens: u64,
     /// Time from arrival within which the first event is in time.
-    pub first_limit: Duration,
+    pub first_event_limit: Duration,
     /// Time since arrival.
     pub waited: Duration,
     /// Time until the caller's deadline.
@@ -43,13 +43,13 @@
     /// Value of the request, in short requests.
     #[must_use]
     pub fn value(&self) -> f32 {
-        1.0 + self.prompt as f32 / TOKENS_PER_VALUE
+        1.0 + self.prompt_tokens as f32 / TOKENS_PER_VALUE
     }
 
     /// Loss of the request if its first event comes after `first`.
     #[must_use]
     pub fn loss_at(&self, first: Duration) -> f32 {
-        first_event_loss(self.value(), self.waited + first, self.first_limit)
+        first_event_loss(self.value(), self.waited + first, self.first_event_limit)
     }
 
     /// Load on an engine that holds a share of the memory, if `shards` engines prefill the
@@ -64,13 +64,13 @@
     ) -> StreamLoad {
         StreamLoad {
             prefill_us: (prefill_time / shards as u32).as_micros() as u64,
-            tokens: self.prompt / shards as u64,
-            is_part: shards > 1,
+            tokens: self.prompt_tokens / shards as u64,
+            is_shard: shards > 1,
             waited_us: self.waited.as_micros() as u64,
-            start_us: 0,
-            first_event_limit_us: self.first_limit.as_micros() as u64,
-            context: (self.prompt + self.answer / 2) / holders as u64,
-            memory: (self.prompt + self.answer) / holders as u64,
+            first_event_us: 0,
+            first_event_limit_us: self.first_event_limit.as_micros() as u64,
+            context: (self.prompt_tokens + self.answer_tokens / 2) / holders as u64,
+            memory: (self.prompt_tokens + self.answer_tokens) / holders as u64,
             passes,
             longest_pause_us: self.longest_pause.as_micros() as u64,
             value: self.value(),
@@ -101,22 +101,22 @@
     /// Targets that prefill shards of the prompt. Helpers that also hold memory come first.
     pub helpers: Vec<Arc<str>>,
     /// Memory to reserve on the first helpers, if the prompt exceeds the memory of `target`.
-    pub seats: Vec<MemoryReservation>,
+    pub reservations: Vec<MemoryReservation>,
     /// Predicted time to the first event.
-    pub first: Duration,
+    pub first_event: Duration,
     /// Predicted cost, in short requests.
     pub cost: f32,
     /// Delay cost: predicted loss of other requests. It is part of `cost`.
-    pub harm: f32,
+    pub delay_cost: f32,
     /// Loss of the request itself, at most the loss of a late answer.
-    pub own: f32,
+    pub own_loss: f32,
     /// Opportunity cost: loss of future requests by the slots and the engine time that the
     /// request takes.
-    pub claim: f32,
+    pub opportunity_cost: f32,
     /// Number of candidate targets.
     pub candidates: usize,
     /// Latest time to send the request; `None` if the target is not rate-limited.
-    pub turn_until: Option<Tick>,
+    pub send_before: Option<Tick>,
 }
 
 /// The targets that a request may go to.
@@ -143,9 +143,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TurnPolicy {
     /// The request goes only to targets that may have a permit now.
-    AtOnce,
+    Immediate,
     /// The request waits for a permit, since no other target takes it.
-    Waits,
+    MayWait,
 }
 
 /// Constraints on a placement, and where the request comes from.
@@ -158,7 +158,7 @@
     /// Targets that the request may go to.
     pub scope: TargetScope<'a>,
     /// Whether the request may wait for a permit.
-    pub turn: TurnPolicy,
+    pub permit: TurnPolicy,
     /// Incarnation of this entry.
     pub entry: u64,
     /// Weights and switches of the decision.
@@ -214,13 +214,13 @@
     /// prompt waits no longer than its limit for the first event: a late prompt loses little by
     /// each further step, and would be delayed until its deadline.
     fn is_worth_waiting(&self, need: &PromptNeed, step: Duration, policy: &RelayPolicy) -> bool {
-        let has_time = self.first + step < need.time_left && need.waited < need.first_limit;
-        if need.prompt <= SHORT_TOKENS || !has_time {
+        let has_time = self.first_event + step < need.time_left && need.waited < need.first_event_limit;
+        if need.prompt_tokens <= SHORT_TOKENS || !has_time {
             return false;
         }
-        let delay_loss = need.loss_at(self.first + step) - need.loss_at(self.first);
+        let delay_loss = need.loss_at(self.first_event + step) - need.loss_at(self.first_event);
         let fade_time = Duration::from_millis(policy.harm_fade_ms).as_secs_f32();
-        self.harm * step.as_secs_f32() > delay_loss * fade_time
+        self.delay_cost * step.as_secs_f32() > delay_loss * fade_time
     }
 
     /// Returns `true` if refusing the prompt loses less than serving it, or if it can not be
@@ -230,12 +230,12 @@
     /// admitted prompt that waits for the sake of others is not refused in favour of later
     /// arrivals.
     fn is_worse_than_refusal(&self, need: &PromptNeed, policy: &RelayPolicy) -> bool {
-        if self.first >= need.time_left {
+        if self.first_event >= need.time_left {
             return true;
         }
         let is_counted = policy.reprices || !need.is_admitted;
-        let opportunity_cost = if is_counted { self.claim } else { 0.0 };
-        self.own + self.harm + opportunity_cost > need.value()
+        let opportunity_cost = if is_counted { self.opportunity_cost } else { 0.0 };
+        self.own_loss + self.delay_cost + opportunity_cost > need.value()
     }
 }
 
@@ -252,14 +252,14 @@
     Some(Placement {
         target: best.record.incarnation.clone(),
         helpers: Vec::new(),
-        seats: Vec::new(),
-        first: Duration::ZERO,
+        reservations: Vec::new(),
+        first_event: Duration::ZERO,
         cost: call_cost(best, query),
-        harm: 0.0,
-        own: 0.0,
-        claim: 0.0,
+        delay_cost: 0.0,
+        own_loss: 0.0,
+        opportunity_cost: 0.0,
         candidates: count,
-        turn_until: None,
+        send_before: None,
     })
 }
 
@@ -282,9 +282,9 @@
     query: &PlacementQuery<'a>,
     now: Tick,
 ) -> Vec<&'a TargetState> {
-    let is_accepting = |target: &&TargetState| match query.turn {
-        TurnPolicy::AtOnce => target.is_usable(now),
-        TurnPolicy::Waits => target.is_willing(now),
+    let is_accepting = |target: &&TargetState| match query.permit {
+        TurnPolicy::Immediate => target.is_usable(now),
+        TurnPolicy::MayWait => target.is_accepting(now),
     };
     let accepting = query.service.targets(set).filter(is_accepting);
     let in_scope: Vec<_> = accepting.filter(|target| query.scope.contains(target)).collect();
--- a/src/relay/decide/quarantine.rs
+++ b/src/relay/decide/quarantine.rs
@@ -59,7 +59,7 @@
     pub digest: RequestDigest,
     /// The instances.
     #[serde(rename = "l")]
-    pub lives: Vec<TargetLife>,
+    pub instances: Vec<TargetLife>,
 }
 
 /// A request under which targets crashed.
@@ -95,7 +95,7 @@
 
     /// Returns the quarantined requests.
     #[must_use]
-    pub fn holds(&self) -> &QuarantineList {
+    pub fn quarantined(&self) -> &QuarantineList {
         &self.quarantined
     }
 
@@ -103,7 +103,7 @@
     /// `streamed_for`.
     ///
     /// Returns the report to send to other processes, if its target is known to have crashed.
-    pub fn note_broken(
+    pub fn record_broken(
         &mut self,
         digest: RequestDigest,
         instance: &TargetLife,
@@ -117,7 +117,7 @@
     /// Records that a target instance ended without announcing its shutdown.
     ///
     /// Returns the reports to send to other processes about the requests that it ran.
-    pub fn note_ended(&mut self, instance: &TargetLife, now: Tick) -> Vec<SuspectNews> {
+    pub fn record_crash(&mut self, instance: &TargetLife, now: Tick) -> Vec<SuspectNews> {
         let digests = self.tracker.record_crash(instance, now);
         digests
             .into_iter()
@@ -127,13 +127,13 @@
 
     /// Returns `true` if the instance is known to have crashed recently.
     #[must_use]
-    pub fn has_ended(&self, instance: &TargetLife) -> bool {
+    pub fn has_crashed(&self, instance: &TargetLife) -> bool {
         self.tracker.has_crashed(instance)
     }
 
     /// Applies a report of another process.
-    pub fn take_news(&mut self, report: &SuspectNews, now: Tick) {
-        for instance in report.lives.iter().take(MAX_INSTANCES) {
+    pub fn apply_report(&mut self, report: &SuspectNews, now: Tick) {
+        for instance in report.instances.iter().take(MAX_INSTANCES) {
             self.add_instance(report.digest, instance, CrashSource::Peer, now);
         }
     }
@@ -142,7 +142,7 @@
     /// targets.
     ///
     /// Returns `true` if the request was a suspect, so that other processes must be informed.
-    pub fn note_served(&mut self, digest: &RequestDigest) -> bool {
+    pub fn record_served(&mut self, digest: &RequestDigest) -> bool {
         self.tracker.record_served(digest);
         self.suspects.remove(digest).is_some()
     }
@@ -161,12 +161,12 @@
     }
 
     /// Records that an attempt of a suspect was sent to a target.
-    pub fn note_sent(&mut self, instance: &TargetLife) {
+    pub fn record_sent(&mut self, instance: &TargetLife) {
         *self.open_attempts.entry(instance.clone()).or_default() += 1;
     }
 
     /// Records that an attempt of a suspect at a target is over.
-    pub fn note_over(&mut self, instance: &TargetLife) {
+    pub fn record_finished(&mut self, instance: &TargetLife) {
         if let Some(count) = self.open_attempts.get_mut(instance) {
             *count -= 1;
             if *count == 0 {
@@ -176,7 +176,7 @@
     }
 
     /// Returns the targets that run an attempt of a suspect.
-    pub fn open_targets(&self) -> impl Iterator<Item = &TargetLife> {
+    pub fn suspect_targets(&self) -> impl Iterator<Item = &TargetLife> {
         self.open_attempts.keys()
     }
 
@@ -207,12 +207,12 @@
     }
 
     /// Drains the requests that were quarantined since the last call.
-    pub fn take_found(&mut self) -> Vec<RequestDigest> {
+    pub fn take_quarantined(&mut self) -> Vec<RequestDigest> {
         self.quarantined.take_quarantined()
     }
 
     /// Applies the records of the store, read at a Unix time.
-    pub fn take_records(&mut self, records: &[QuarantineRecord], unix_ms: u64, now: Tick) {
+    pub fn apply_records(&mut self, records: &[QuarantineRecord], unix_ms: u64, now: Tick) {
         let suspects = &mut self.suspects;
         let instances_of = |digest: &RequestDigest| {
             suspects.remove(digest).map(|state| state.instances).unwrap_or_default()
@@ -221,7 +221,7 @@
     }
 
     /// Returns the records to write to the store, if a write is due.
-    pub fn to_write(&mut self, unix_ms: u64, now: Tick) -> Option<Vec<QuarantineRecord>> {
+    pub fn due_records(&mut self, unix_ms: u64, now: Tick) -> Option<Vec<QuarantineRecord>> {
         self.quarantined.due_records(unix_ms, now)
     }
 
@@ -230,22 +230,22 @@
     pub fn report_on(&self, digest: RequestDigest) -> Option<SuspectNews> {
         let suspected = self.suspects.get(&digest).map(|state| &*state.instances);
         let instances = suspected.or_else(|| self.quarantined.instances_of(&digest))?;
-        Some(SuspectNews { digest, lives: instances.to_vec() })
+        Some(SuspectNews { digest, instances: instances.to_vec() })
     }
 
     /// Returns the report about a request that all processes receive; `None` if too little is
     /// known. One crash is no evidence against any of the requests that ran there.
     #[must_use]
-    pub fn told_of(&self, digest: RequestDigest) -> Option<SuspectNews> {
-        self.report_on(digest).filter(|report| report.lives.len() >= MIN_REPORTED_CRASHES)
+    pub fn shareable_report(&self, digest: RequestDigest) -> Option<SuspectNews> {
+        self.report_on(digest).filter(|report| report.instances.len() >= MIN_REPORTED_CRASHES)
     }
 
     /// Returns the reports for a process that has just started, on the newest suspects.
     #[must_use]
-    pub fn to_news(&self) -> Vec<SuspectNews> {
+    pub fn to_reports(&self) -> Vec<SuspectNews> {
         let mut suspects: Vec<_> = self.suspects.iter().collect();
         suspects.sort_by_key(|(digest, state)| (Reverse(state.recorded_at), **digest));
-        let reports = suspects.into_iter().filter_map(|(digest, _)| self.told_of(*digest));
+        let reports = suspects.into_iter().filter_map(|(digest, _)| self.shareable_report(*digest));
         reports.take(MAX_REPORTS).collect()
     }
 
--- a/src/relay/decide/rate_book.rs
+++ b/src/relay/decide/rate_book.rs
@@ -40,7 +40,7 @@
 pub struct RateNews {
     /// The target.
     #[serde(rename = "l")]
-    pub life: TargetLife,
+    pub instance: TargetLife,
     /// The limit; `None` if the target states none any more.
     #[serde(rename = "r")]
     pub rate: Option<RateLimit>,
@@ -76,7 +76,7 @@
     /// Records a limit that an answer states.
     ///
     /// Returns `true` if the limit is new.
-    pub fn note_named(&mut self, instance: &TargetLife, rate: RateLimit, now: Tick) -> bool {
+    pub fn record_limit(&mut self, instance: &TargetLife, rate: RateLimit, now: Tick) -> bool {
         self.put(instance, KnownRate { rate: Some(rate), at: now })
     }
 
@@ -84,7 +84,7 @@
     ///
     /// Returns `true` if that ends a known limit. Answers may overtake one another, so only a
     /// request that was sent later than the limit was learned ends it.
-    pub fn note_silent(&mut self, instance: &TargetLife, sent_at: Tick) -> bool {
+    pub fn record_no_limit(&mut self, instance: &TargetLife, sent_at: Tick) -> bool {
         let known = self.known.get_mut(instance);
         let ended = known.filter(|known| known.rate.is_some() && known.at < sent_at);
         let Some(ended) = ended else { return false };
@@ -96,15 +96,15 @@
     /// Applies an update of another process.
     ///
     /// Returns `true` if it changes the limit of the target.
-    pub fn take(&mut self, update: &RateNews, now: Tick) -> bool {
+    pub fn apply_update(&mut self, update: &RateNews, now: Tick) -> bool {
         let at = now - Duration::from_millis(update.age_ms.into());
         let new = KnownRate { rate: update.rate, at };
-        match self.known.get(&update.life) {
+        match self.known.get(&update.instance) {
             Some(known) if known.at >= at => false,
             Some(known) if known.rate == new.rate && at.since(known.at) < SAME_WINDOW => false,
             // A target that is not in the table has no limit.
             None if new.rate.is_none() => false,
-            _ => self.put(&update.life, new),
+            _ => self.put(&update.instance, new),
         }
     }
 
@@ -116,24 +116,24 @@
 
     /// Returns `true` if any instance of the named target has a limit.
     #[must_use]
-    pub fn is_scarce(&self, name: &str) -> bool {
+    pub fn is_rate_limited(&self, name: &str) -> bool {
         let known = self.known.iter().filter(|(instance, _)| &*instance.incarnation == name);
         known.into_iter().any(|(_, known)| known.rate.is_some())
     }
 
     /// Returns what is known about one target, as an update; `None` if nothing is.
     #[must_use]
-    pub fn to_news_of(&self, instance: &TargetLife, now: Tick) -> Option<RateNews> {
+    pub fn to_update(&self, instance: &TargetLife, now: Tick) -> Option<RateNews> {
         let known = self.known.get(instance)?;
         let age_ms = now.since(known.at).as_millis().try_into().unwrap_or(u32::MAX);
-        Some(RateNews { life: instance.clone(), rate: known.rate, age_ms })
+        Some(RateNews { instance: instance.clone(), rate: known.rate, age_ms })
     }
 
     /// Returns the updates for the next message to a process, and records them in `announced`.
     ///
     /// Changes are announced at once, and all known limits from time to time. Targets that do not fit
     /// into one message are in the next.
-    pub fn to_news(&mut self, announced: &mut RateTold, now: Tick) -> Vec<RateNews> {
+    pub fn to_updates(&mut self, announced: &mut RateTold, now: Tick) -> Vec<RateNews> {
         if announced.change != self.change {
             *announced = RateTold { change: self.change, rounds: 0 };
         }
@@ -148,7 +148,7 @@
         self.cursor = first + MAX_UPDATES;
         instances.rotate_left(first);
         instances.truncate(MAX_UPDATES);
-        instances.iter().filter_map(|instance| self.to_news_of(instance, now)).collect()
+        instances.iter().filter_map(|instance| self.to_update(instance, now)).collect()
     }
 
     /// Removes outdated limits. `jitter`, from 0 to 1, differs between processes.
--- a/src/relay/decide/rate_limit.rs
+++ b/src/relay/decide/rate_limit.rs
@@ -61,11 +61,11 @@
 pub enum RateWord {
     /// The answer states no limit.
     #[default]
-    Silent,
+    Absent,
     /// The answer states a value that is not a valid limit.
     Unreadable,
     /// The answer states a limit.
-    Named(RateLimit),
+    Limit(RateLimit),
 }
 
 impl RateWord {
@@ -76,18 +76,18 @@
     /// ```
     /// use shalelane::relay::decide::rate_limit::RateWord;
     ///
-    /// assert_eq!(RateWord::from_texts([]), RateWord::Silent);
+    /// assert_eq!(RateWord::from_texts([]), RateWord::Absent);
     /// assert_eq!(RateWord::from_texts(["soon"]), RateWord::Unreadable);
     /// assert_eq!(RateWord::from_texts(["3", "2"]), RateWord::from_texts(["2.0"]));
     /// ```
     pub fn from_texts<'a>(texts: impl IntoIterator<Item = &'a str>) -> Self {
-        let mut notice = RateWord::Silent;
+        let mut notice = RateWord::Absent;
         for text in texts {
             let rate = text.trim().parse().ok().and_then(RateLimit::from_per_second);
             notice = match (notice, rate) {
-                (RateWord::Named(known), Some(rate)) if known <= rate => RateWord::Named(known),
-                (_, Some(rate)) => RateWord::Named(rate),
-                (RateWord::Named(known), None) => RateWord::Named(known),
+                (RateWord::Limit(known), Some(rate)) if known <= rate => RateWord::Limit(known),
+                (_, Some(rate)) => RateWord::Limit(rate),
+                (RateWord::Limit(known), None) => RateWord::Limit(known),
                 (_, None) => RateWord::Unreadable,
             };
         }
@@ -98,8 +98,8 @@
     #[must_use]
     pub fn rate(self) -> Option<RateLimit> {
         match self {
-            RateWord::Named(rate) => Some(rate),
-            RateWord::Silent | RateWord::Unreadable => None,
+            RateWord::Limit(rate) => Some(rate),
+            RateWord::Absent | RateWord::Unreadable => None,
         }
     }
 }
--- a/src/relay/decide/retry_budget.rs
+++ b/src/relay/decide/retry_budget.rs
@@ -63,13 +63,13 @@
     }
 
     /// Counts a request of a caller.
-    pub fn note_request(&mut self, now: Tick) {
+    pub fn record_request(&mut self, now: Tick) {
         self.expire(now);
         self.requests.push_back(now);
     }
 
     /// Returns `true` if this entry's ratio leaves a retry.
-    pub fn is_left(&mut self, now: Tick) -> bool {
+    pub fn has_retry(&mut self, now: Tick) -> bool {
         self.expire(now);
         let allowed = self.bound.ratio * self.requests.len() as f64 * USED_SHARE;
         (self.retries.len() + 1) as f64 <= allowed
@@ -77,7 +77,7 @@
 
     /// Spends a retry of this entry's ratio; returns `false` if none is left.
     pub fn take(&mut self, now: Tick) -> bool {
-        let has_retry = self.is_left(now);
+        let has_retry = self.has_retry(now);
         if has_retry {
             self.retries.push_back(now);
         }
@@ -86,18 +86,18 @@
 
     /// Returns `true` if an agent may be asked for a grant.
     #[must_use]
-    pub fn may_ask(&self, now: Tick) -> bool {
+    pub fn may_request(&self, now: Tick) -> bool {
         now >= self.ask_at
     }
 
     /// Records that agents grant no retry until the given time.
-    pub fn note_refused(&mut self, until: Tick) {
+    pub fn record_refusal(&mut self, until: Tick) {
         self.ask_at = until;
     }
 
     /// Spends a retry if no agent answers: one in each window, so that a fleet without agents
     /// can retry at all. Returns `false` if none is left.
-    pub fn take_alone(&mut self, now: Tick) -> bool {
+    pub fn take_without_agent(&mut self, now: Tick) -> bool {
         let has_retry = self.ungranted_at.is_none_or(|at| now.since(at) > self.bound.window);
         if has_retry {
             self.ungranted_at = Some(now);
--- a/src/relay/decide/return_time.rs
+++ b/src/relay/decide/return_time.rs
@@ -72,7 +72,7 @@
     let scope = service.into();
     // Targets without a rate limit need no permit; they were tried already.
     let rate_limited = scope.targets(set).filter(|target| target.rate.is_some());
-    let accepting = rate_limited.filter(|target| target.is_willing(now));
+    let accepting = rate_limited.filter(|target| target.is_accepting(now));
     accepting.map(|target| target.closed_for(now)).min()
 }
 
@@ -87,7 +87,7 @@
 /// waits.
 #[must_use]
 pub fn after_overload(placement: &Placement, need: &PromptNeed, random: &mut impl Rng) -> Duration {
-    let min_delay = need.first_limit.mul_f64(random.random_range(OVERLOAD_DELAY_FACTOR));
+    let min_delay = need.first_event_limit.mul_f64(random.random_range(OVERLOAD_DELAY_FACTOR));
     let max_delay = need.time_left.mul_f64(TIME_LEFT_FRACTION * random.random_range(RETRY_JITTER));
-    min_delay.max(placement.first).min(max_delay)
+    min_delay.max(placement.first_event).min(max_delay)
 }
--- a/src/relay/decide/send_count.rs
+++ b/src/relay/decide/send_count.rs
@@ -29,7 +29,7 @@
 
 impl SendCount {
     /// Records a send that has ended.
-    pub fn note(&mut self, end: SendEnd) {
+    pub fn record(&mut self, end: SendEnd) {
         match end {
             SendEnd::NotSent => {}
             SendEnd::Refused | SendEnd::Stale => self.sends += 1,
@@ -54,7 +54,7 @@
 
     /// Returns `true` if another send is within the limit of runs.
     #[must_use]
-    pub fn permits(&self, max_runs: usize) -> bool {
+    pub fn allows(&self, max_runs: usize) -> bool {
         self.runs < max_runs && self.sends < max_runs + MAX_REFUSED_SENDS
     }
 }
--- a/src/relay/decide/slack_gate.rs
+++ b/src/relay/decide/slack_gate.rs
@@ -60,7 +60,7 @@
 
 impl SlackGate {
     /// Answers the request of an entry.
-    pub fn on_ask(&mut self, request: &SlackAsk, now: Tick) -> PermitReply {
+    pub fn on_request(&mut self, request: &SlackAsk, now: Tick) -> PermitReply {
         let (share, start) =
             if request.is_second { (SECOND_SHARE, 0.0) } else { (FIRST_SHARE, START_SHARE) };
         let window = f64::from(request.window_ms.max(1)) / 1e3;
--- a/src/relay/decide/start_wait.rs
+++ b/src/relay/decide/start_wait.rs
@@ -16,17 +16,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartPhase {
     /// The store was queried and has not answered yet.
-    Reading,
+    Loading,
     /// Configuration and targets are known, or the store refused the process. In the latter
     /// case other processes serve its callers sooner.
-    Over,
+    Done,
 }
 
 impl StartPhase {
     /// Returns `true` if no caller waits for the start any more.
     #[must_use]
-    pub fn is_over(self) -> bool {
-        self == StartPhase::Over
+    pub fn is_done(self) -> bool {
+        self == StartPhase::Done
     }
 }
 
@@ -34,7 +34,7 @@
 #[must_use]
 pub fn start_wait(phase: StartPhase, age: Duration) -> Duration {
     match phase {
-        StartPhase::Reading => START_WINDOW.saturating_sub(age),
-        StartPhase::Over => Duration::ZERO,
+        StartPhase::Loading => START_WINDOW.saturating_sub(age),
+        StartPhase::Done => Duration::ZERO,
     }
 }
--- a/src/relay/decide/stream_load.rs
+++ b/src/relay/decide/stream_load.rs
@@ -25,7 +25,7 @@
     pub tokens: u64,
     /// Whether this is a shard of a prompt that several engines prefill.
     #[serde(rename = "j")]
-    pub is_part: bool,
+    pub is_shard: bool,
     /// Tokens of context while decoding; zero for a helper.
     #[serde(rename = "c")]
     pub context: u64,
@@ -40,7 +40,7 @@
     pub waited_us: u64,
     /// Predicted time from the placement to the first event, in microseconds.
     #[serde(rename = "s")]
-    pub start_us: u64,
+    pub first_event_us: u64,
     /// Time from arrival within which the first event is in time, in microseconds.
     #[serde(rename = "l")]
     pub first_event_limit_us: u64,
--- a/src/relay/decide/target_notice.rs
+++ b/src/relay/decide/target_notice.rs
@@ -56,7 +56,7 @@
 impl KeptNotice {
     /// Merges the notice of one more answer. Nothing is withdrawn, as answers may overtake one
     /// another.
-    pub fn take(&mut self, notice: &TargetNotice, now: Tick) {
+    pub fn merge(&mut self, notice: &TargetNotice, now: Tick) {
         self.is_leaving |= notice.is_leaving;
         if let Some(span) = notice.backoff {
             self.backoff_until = self.backoff_until.max(now + span);
@@ -80,7 +80,7 @@
 
 impl NoticeMemory {
     /// Stores the notice of a target that is no longer listed.
-    pub fn keep(&mut self, record: &TargetRecord, notice: KeptNotice, now: Tick) {
+    pub fn insert(&mut self, record: &TargetRecord, notice: KeptNotice, now: Tick) {
         self.expire(now);
         if self.removed.len() >= MAX_REMOVED {
             let oldest = self.removed.iter().min_by_key(|(_, removed)| removed.removed_at);
@@ -94,7 +94,7 @@
     }
 
     /// Removes and returns the stored notice of a target that is listed again.
-    pub fn recall(&mut self, record: &TargetRecord, now: Tick) -> KeptNotice {
+    pub fn restore(&mut self, record: &TargetRecord, now: Tick) -> KeptNotice {
         self.expire(now);
         let Some(removed) = self.removed.remove(&record.to_life()) else {
             return KeptNotice::default();
--- a/src/relay/decide/target_state.rs
+++ b/src/relay/decide/target_state.rs
@@ -43,14 +43,14 @@
     pub incarnation: Arc<str>,
     /// Start time in Unix milliseconds; zero if the platform does not provide it.
     #[serde(rename = "b")]
-    pub born_ms: u64,
+    pub started_ms: u64,
 }
 
 impl TargetLife {
     /// A hash of the instance that is the same in all processes.
     #[must_use]
     pub fn seed(&self) -> u64 {
-        xxhash_rust::xxh3::xxh3_64_with_seed(self.incarnation.as_bytes(), self.born_ms)
+        xxhash_rust::xxh3::xxh3_64_with_seed(self.incarnation.as_bytes(), self.started_ms)
     }
 }
 
@@ -63,7 +63,7 @@
     /// Start time of this instance in Unix milliseconds; zero if the platform does not provide
     /// it.
     #[serde(rename = "b", default)]
-    pub born_ms: u64,
+    pub started_ms: u64,
     /// Service of the target.
     #[serde(rename = "s")]
     pub service: Arc<str>,
@@ -91,7 +91,7 @@
     /// The listed instance.
     #[must_use]
     pub fn to_life(&self) -> TargetLife {
-        TargetLife { incarnation: self.incarnation.clone(), born_ms: self.born_ms }
+        TargetLife { incarnation: self.incarnation.clone(), started_ms: self.started_ms }
     }
 
     /// Remaining warm-up time, if the list provides it.
@@ -109,9 +109,9 @@
     /// The connection broke.
     Broken,
     /// The target did not answer in time.
-    Silent,
+    TimedOut,
     /// The answer is malformed.
-    Garbled,
+    Malformed,
     /// The target answered with an error.
     Error,
     /// The target refused the request because it is full.
@@ -135,7 +135,7 @@
     /// Number of requests of this process on the target.
     pub in_flight: usize,
     /// When the target last sent anything.
-    pub heard_at: Tick,
+    pub received_at: Tick,
     /// When the oldest request since then was sent.
     pub waiting_since: Option<Tick>,
     /// Start of the uninterrupted period in which the target refuses connections.
@@ -156,7 +156,7 @@
     /// Earliest time of a permit, if the target is rate-limited.
     closed_until: Tick,
     /// When the agent that issues its permits did not answer.
-    pub unheard_at: Option<Tick>,
+    pub permit_unanswered_at: Option<Tick>,
     /// When the target is removed, if it is missing from the list.
     pub(super) remove_at: Option<Tick>,
     pub(super) is_superseded: bool,
@@ -172,7 +172,7 @@
             is_used: true,
             subscribers: 0,
             in_flight: 0,
-            heard_at: now,
+            received_at: now,
             waiting_since: None,
             unreachable_since: None,
             failures: 0,
@@ -184,7 +184,7 @@
             warmup: WarmupState::default(),
             is_evacuated: false,
             closed_until: Tick::default(),
-            unheard_at: None,
+            permit_unanswered_at: None,
             remove_at: None,
             is_superseded: false,
             is_configured: true,
@@ -202,12 +202,12 @@
     /// Returns `true` if requests may be sent to the target now.
     #[must_use]
     pub fn is_usable(&self, now: Tick) -> bool {
-        self.is_willing(now) && self.closed_for(now).is_zero()
+        self.is_accepting(now) && self.closed_for(now).is_zero()
     }
 
     /// Returns `true` if the target accepts requests, whether a permit is available or not.
     #[must_use]
-    pub fn is_willing(&self, now: Tick) -> bool {
+    pub fn is_accepting(&self, now: Tick) -> bool {
         let is_in_service = self.is_current() && !self.is_evacuated && !self.is_leaving();
         is_in_service && self.backoff(now).is_zero()
     }
@@ -222,7 +222,7 @@
     #[must_use]
     pub fn warmup(&self, now: Tick) -> Option<(RateLimit, Duration)> {
         let limit = self.warmup_limit?;
-        let remaining = self.warmup.left(limit.span, now);
+        let remaining = self.warmup.time_left(limit.span, now);
         (!remaining.is_zero()).then_some((limit.rate, remaining))
     }
 
@@ -234,7 +234,7 @@
 
     /// Records that no permit is available before `until`. The earliest of several answers
     /// applies.
-    pub fn close(&mut self, until: Tick, now: Tick) {
+    pub fn close_until(&mut self, until: Tick, now: Tick) {
         let is_closed = self.closed_until > now;
         self.closed_until = if is_closed { self.closed_until.min(until) } else { until };
     }
@@ -262,13 +262,13 @@
 
     /// Applies what an answer of this instance announces. Returns `true` if the target stops
     /// accepting requests by it.
-    pub fn take_notice(&mut self, notice: &TargetNotice, now: Tick) -> bool {
-        let was_accepting = self.is_willing(now);
-        self.announced.take(notice, now);
+    pub fn apply_notice(&mut self, notice: &TargetNotice, now: Tick) -> bool {
+        let was_accepting = self.is_accepting(now);
+        self.announced.merge(notice, now);
         if let Some(remaining) = notice.warmup {
-            self.warmup.note_left(remaining, now);
+            self.warmup.record_left(remaining, now);
         }
-        was_accepting && !self.is_willing(now)
+        was_accepting && !self.is_accepting(now)
     }
 
     /// The instance that crashed if the target vanishes now; `None` if it has announced that it
@@ -284,13 +284,13 @@
     }
 
     /// Records a request that is sent to the target.
-    pub fn note_sent(&mut self, now: Tick) {
+    pub fn record_sent(&mut self, now: Tick) {
         self.in_flight += 1;
         self.waiting_since.get_or_insert(now);
     }
 
     /// Records that a request is no longer on the target.
-    pub fn note_ended(&mut self) {
+    pub fn record_finished(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
         if self.in_flight == 0 {
             self.waiting_since = None;
@@ -298,8 +298,8 @@
     }
 
     /// Records received bytes of an answer.
-    pub fn note_heard(&mut self, now: Tick) {
-        self.heard_at = now;
+    pub fn record_received(&mut self, now: Tick) {
+        self.received_at = now;
         self.unreachable_since = None;
         self.waiting_since = (self.in_flight > 0).then_some(now);
     }
@@ -311,7 +311,7 @@
     }
 
     /// Records a request that the target served.
-    pub fn note_success(&mut self) {
+    pub fn record_success(&mut self) {
         self.failures = 0;
         self.ejections = 0;
         self.ejected_until = Tick::default();
@@ -319,31 +319,31 @@
 
     /// Records a refused connection. Returns `true` if refusals have lasted: a target with too
     /// many connections refuses some as well.
-    pub fn note_unreachable(&mut self, now: Tick) -> bool {
+    pub fn record_unreachable(&mut self, now: Tick) -> bool {
         let since = *self.unreachable_since.get_or_insert(now);
         now.since(since) >= CRASH_DELAY
     }
 
     /// Records that its agent reports the target as down.
-    pub fn note_down(&mut self, now: Tick) {
-        let is_alive = self.in_flight > 0 && now.since(self.heard_at) < ALIVE_WINDOW;
+    pub fn record_down(&mut self, now: Tick) {
+        let is_alive = self.in_flight > 0 && now.since(self.received_at) < ALIVE_WINDOW;
         if !is_alive {
             self.ejected_until = self.ejected_until.max(now + DOWN_DURATION);
         }
     }
 
     /// Records a failure. Returns the duration of the ejection that follows, if any.
-    pub fn note_failure(&mut self, fault: TargetFault, now: Tick) -> Option<Duration> {
+    pub fn record_failure(&mut self, fault: TargetFault, now: Tick) -> Option<Duration> {
         match fault {
             TargetFault::Full => return None,
             TargetFault::Replaced => {
                 self.announced.is_leaving = true;
                 return None;
             }
-            TargetFault::Unreachable | TargetFault::Broken | TargetFault::Silent => {
+            TargetFault::Unreachable | TargetFault::Broken | TargetFault::TimedOut => {
                 self.failures += EJECTION_FAILURES;
             }
-            TargetFault::Garbled | TargetFault::Error => self.failures += 1,
+            TargetFault::Malformed | TargetFault::Error => self.failures += 1,
         }
         if self.failures < EJECTION_FAILURES || self.is_ejected(now) {
             return None;
--- a/src/relay/decide/targets.rs
+++ b/src/relay/decide/targets.rs
@@ -39,7 +39,7 @@
     /// Targets that restarted under the same name.
     pub restarted: Vec<Arc<str>>,
     /// Instances that ended without announcing it.
-    pub ended: Vec<TargetLife>,
+    pub crashed: Vec<TargetLife>,
 }
 
 impl ListChange {
@@ -56,7 +56,7 @@
         self.leaving.extend(later.leaving);
         self.removed.extend(later.removed);
         self.restarted.extend(later.restarted);
-        self.ended.extend(later.ended);
+        self.crashed.extend(later.crashed);
     }
 }
 
@@ -105,7 +105,7 @@
 
     /// Applies a complete list. After an outage of the list, missing targets are kept for a
     /// while, since they may still come back.
-    pub fn take_list(
+    pub fn apply_list(
         &mut self,
         records: Vec<TargetRecord>,
         is_after_outage: bool,
@@ -132,7 +132,7 @@
 
     /// Sets which services the configuration names. A target of another service receives no
     /// requests and supersedes no other target.
-    pub fn note_services(&mut self, is_service: impl Fn(&str) -> bool) -> ListChange {
+    pub fn set_services(&mut self, is_service: impl Fn(&str) -> bool) -> ListChange {
         for target in self.targets.values_mut() {
             target.is_configured = is_service(&target.record.service);
         }
@@ -147,7 +147,7 @@
         for target in self.targets.values_mut() {
             let is_evacuated = domains.contains(&target.record.failure_domain);
             if target.is_evacuated && !is_evacuated {
-                target.warmup.note_unsure(now);
+                target.warmup.mark_unknown(now);
             }
             target.is_evacuated = is_evacuated;
         }
@@ -155,7 +155,7 @@
     }
 
     /// Applies a change of one target.
-    pub fn take_change(&mut self, record: TargetRecord, now: Tick) -> ListChange {
+    pub fn apply_change(&mut self, record: TargetRecord, now: Tick) -> ListChange {
         let mut change = ListChange::default();
         self.apply_record(record, now, &mut change);
         self.mark_superseded(&mut change);
@@ -165,7 +165,7 @@
     /// Applies the removal of one target from the list. After an outage, the target is kept for
     /// a while, since it may still come back. `outage_removal` is then the earliest time at
     /// which the list can have dropped it, however late the removal is received.
-    pub fn take_removal(
+    pub fn apply_removal(
         &mut self,
         incarnation: &str,
         outage_removal: Option<Tick>,
@@ -190,19 +190,19 @@
         let name = record.incarnation.clone();
         let known = self.targets.get_mut(&name);
         // Updates about an earlier instance may arrive late.
-        if known.as_ref().is_some_and(|target| record.born_ms < target.record.born_ms) {
+        if known.as_ref().is_some_and(|target| record.started_ms < target.record.started_ms) {
             return;
         }
-        if let Some(target) = known.filter(|target| record.born_ms == target.record.born_ms) {
+        if let Some(target) = known.filter(|target| record.started_ms == target.record.started_ms) {
             if record.is_leaving && !target.record.is_leaving {
                 change.leaving.push(name);
             }
             let was_missing = target.remove_at.take().is_some();
             match record.warmup_left() {
                 Some(left) if was_missing || record.warmup_ms != target.record.warmup_ms => {
-                    target.warmup.note_left(left, now);
+                    target.warmup.record_left(left, now);
                 }
-                None if was_missing => target.warmup.note_unsure(now),
+                None if was_missing => target.warmup.mark_unknown(now),
                 _ => {}
             }
             // A target that announced its leaving does not come back.
@@ -214,17 +214,17 @@
         // A new instance inherits neither the requests nor the announcements of its
         // predecessor. A target that was only missing for a while keeps its announcements.
         let mut state = TargetState::new(record, now);
-        state.announced = self.notices.recall(&state.record, now);
+        state.announced = self.notices.restore(&state.record, now);
         state.is_evacuated = self.evacuated.contains(&state.record.failure_domain);
         match state.record.warmup_left() {
-            Some(left) => state.warmup.note_left(left, now),
+            Some(left) => state.warmup.record_left(left, now),
             // It started while this process was running.
-            None if self.has_list => state.warmup.note_unsure(now),
+            None if self.has_list => state.warmup.mark_unknown(now),
             None => {}
         }
         match self.targets.insert(name.clone(), state) {
             Some(former) => {
-                change.ended.extend(former.to_crashed());
+                change.crashed.extend(former.to_crashed());
                 change.restarted.push(name);
             }
             None => change.added.push(name),
@@ -244,7 +244,7 @@
             let was_superseded = target.is_superseded;
             target.is_superseded = newest.is_some_and(|at| *at > target.record.listed_at);
             if target.is_superseded && !was_superseded {
-                change.ended.extend(target.to_crashed());
+                change.crashed.extend(target.to_crashed());
             }
         }
     }
@@ -253,9 +253,9 @@
         self.targets.retain(|name, target| {
             let is_gone = target.remove_at.is_some_and(|at| now >= at);
             if is_gone {
-                self.notices.keep(&target.record, target.announced, now);
+                self.notices.insert(&target.record, target.announced, now);
                 change.removed.push(name.clone());
-                change.ended.extend(target.to_crashed());
+                change.crashed.extend(target.to_crashed());
             }
             !is_gone
         });
--- a/src/relay/decide/warmup.rs
+++ b/src/relay/decide/warmup.rs
@@ -74,20 +74,20 @@
 
 impl WarmupState {
     /// Records the time for which the target states that it is cold, zero if it is warm.
-    pub fn note_left(&mut self, left: Duration, now: Tick) {
+    pub fn record_left(&mut self, left: Duration, now: Tick) {
         self.warm_at = now + left;
         self.unknown_since = None;
     }
 
     /// Records that the target may have started, or turned cold, unobserved.
-    pub fn note_unsure(&mut self, now: Tick) {
+    pub fn mark_unknown(&mut self, now: Tick) {
         self.unknown_since = Some(now);
     }
 
     /// Returns the time until the target is warm. A target that has stated nothing is taken to
     /// be cold for `duration`.
     #[must_use]
-    pub fn left(&self, duration: Duration, now: Tick) -> Duration {
+    pub fn time_left(&self, duration: Duration, now: Tick) -> Duration {
         let unknown_until = self.unknown_since.map_or(Tick::default(), |since| since + duration);
         self.warm_at.max(unknown_until).since(now)
     }
--- a/src/relay/discovery/config_delta.rs
+++ b/src/relay/discovery/config_delta.rs
@@ -60,7 +60,7 @@
     pub since: StoreRevision,
     /// Revision that it leads to.
     #[serde(rename = "m")]
-    pub mark: StoreRevision,
+    pub revision: StoreRevision,
     #[serde(rename = "v")]
     version: u64,
     #[serde(rename = "r")]
@@ -86,7 +86,7 @@
     ) -> Self {
         ConfigDelta {
             since,
-            mark: new_revision,
+            revision: new_revision,
             version: new.version,
             routes: ItemChanges::between(&old.routes, &new.routes, route_key),
             services: ItemChanges::between(&old.services, &new.services, service_key),
--- a/src/relay/discovery/config_share.rs
+++ b/src/relay/discovery/config_share.rs
@@ -37,7 +37,7 @@
 
 impl ConfigShare {
     /// Records that another entry has a revision; `own` is the local one.
-    pub fn note_told(&mut self, revision: StoreRevision, own: StoreRevision, now: Tick) {
+    pub fn record_announced(&mut self, revision: StoreRevision, own: StoreRevision, now: Tick) {
         self.newest_announced = self.newest_announced.max(revision);
         if self.newest_announced > own {
             self.behind_since.get_or_insert(now);
@@ -45,14 +45,14 @@
     }
 
     /// Records that the local revision is now `own`, from the store or from another entry.
-    pub fn note_own(&mut self, own: StoreRevision) {
+    pub fn record_own(&mut self, own: StoreRevision) {
         if self.newest_announced <= own {
             self.behind_since = None;
         }
     }
 
     /// Records a read of the store: nothing later than `own` exists.
-    pub fn note_read(&mut self, own: StoreRevision) {
+    pub fn record_read(&mut self, own: StoreRevision) {
         self.newest_announced = own;
         self.behind_since = None;
     }
@@ -65,12 +65,12 @@
     }
 
     /// Records that the configuration in force came from another entry.
-    pub fn note_unconfirmed(&mut self, now: Tick) {
+    pub fn mark_unconfirmed(&mut self, now: Tick) {
         self.unconfirmed_since = Some(now);
     }
 
     /// Records that the configuration in force is the one in the store.
-    pub fn note_confirmed(&mut self) {
+    pub fn mark_confirmed(&mut self) {
         self.unconfirmed_since = None;
     }
 
--- a/src/relay/discovery/feed.rs
+++ b/src/relay/discovery/feed.rs
@@ -83,7 +83,7 @@
     /// Its name, if that can be read.
     pub name: Option<Arc<str>>,
     /// The reason, in a few words.
-    pub why: String,
+    pub reason: String,
 }
 
 /// The answer to a watch of the list.
--- a/src/relay/discovery/follow_config.rs
+++ b/src/relay/discovery/follow_config.rs
@@ -62,9 +62,9 @@
             }
         };
         if !is_reachable {
-            shared.log.dependency("store", true, "");
+            shared.log.dependency_changed("store", true, "");
             // What a watch reported during the outage is not reliable, and its connection may hang.
-            shared.outages.send_modify(|count| *count += 1);
+            shared.store_recoveries.send_modify(|count| *count += 1);
             watcher = None;
         }
         is_reachable = true;
@@ -72,13 +72,13 @@
         // admitted.
         if let Some(read) = read {
             let starts_at = read.store_revision;
-            shared.note_epoch(starts_at.epoch);
+            shared.record_epoch(starts_at.epoch);
             // A watch that did not report this change may have a hung connection.
             let is_hung = read.config.is_some();
-            shared.take_read(read, sent_at);
+            shared.apply_read(read, sent_at);
             announce_change(&shared);
-            shared.tell_suspects();
-            shared.note_started();
+            shared.report_suspects();
+            shared.finish_start();
             watcher = watcher.filter(|watch| watch.is_open(&shared) && !is_hung);
             if shared.core.borrow().list_share().is_watching() {
                 watcher.get_or_insert_with(|| ConfigWatcher::start(&shared, &source, starts_at));
@@ -105,12 +105,12 @@
     let reading = (source.read_config)(known);
     if shared.core.borrow().limits().evacuate_bound.is_none() {
         let read = reading.await;
-        shared.counts.borrow().note_store_call(StoreCall::ConfigRead);
+        shared.counts.borrow().record_store_call(StoreCall::ConfigRead);
         return read;
     }
     let (read, list) = tokio::join!(reading, (source.read_evacuations)());
-    shared.counts.borrow().note_store_call(StoreCall::ConfigRead);
-    shared.counts.borrow().note_store_call(StoreCall::EvacuationRead);
+    shared.counts.borrow().record_store_call(StoreCall::ConfigRead);
+    shared.counts.borrow().record_store_call(StoreCall::EvacuationRead);
     let (read, list) = (read?, list?);
     if read.as_ref().is_some_and(|read| read.store_revision.epoch != list.epoch) {
         return Err(Error::from_answer(
@@ -118,7 +118,7 @@
             "the store was restored from a backup during the read",
         ));
     }
-    shared.take_evacuations(list, sent_at);
+    shared.apply_evacuations(list, sent_at);
     Ok(read)
 }
 
@@ -127,8 +127,8 @@
 async fn wait_for_store(shared: &RelayShared) {
     loop {
         tokio::time::sleep(RETRY_DELAY).await;
-        shared.away_at.set(Some(shared.now()));
-        if shared.core.borrow().probes_store() || renew_proof_from_peers(shared).await {
+        shared.store_failed_at.set(Some(shared.now()));
+        if shared.core.borrow().should_probe_store() || renew_proof_from_peers(shared).await {
             return;
         }
     }
@@ -143,7 +143,7 @@
         return shared.now() + TURNED_AWAY_INTERVAL;
     }
     let lease = core.lease();
-    lease.proven_at().unwrap_or(shared.now()) + ProofShare::refresh_age(lease.span())
+    lease.proven_at().unwrap_or(shared.now()) + ProofShare::refresh_age(lease.duration())
 }
 
 /// The result of querying another entry for its proof.
@@ -161,12 +161,12 @@
 async fn query_peers(shared: &RelayShared) -> ProofQueryResult {
     shared.link.query_agents(&shared.core.borrow(), shared.now());
     tokio::time::sleep(PEER_TIMEOUT).await;
-    let query = shared.core.borrow_mut().ask_proof(shared.now());
+    let query = shared.core.borrow_mut().request_proof(shared.now());
     let Some((address, query)) = query else { return ProofQueryResult::NoProof };
     shared.peer_verdict.set(PeerVerdict::Useless);
     shared.link.send_to(address, &query);
     // Without an answer the store is read.
-    drop(tokio::time::timeout(PEER_TIMEOUT, shared.proof_told.notified()).await);
+    drop(tokio::time::timeout(PEER_TIMEOUT, shared.proof_received.notified()).await);
     match shared.peer_verdict.get() {
         PeerVerdict::ProvenAt(_) => {
             shared.counts.borrow_mut().shared_proofs += 1;
@@ -187,16 +187,16 @@
     match fetch_copy(shared, entry).await {
         Ok(copy) => {
             let mut core = shared.core.borrow_mut();
-            if core.take_copy(&copy, shared.now()) {
+            if core.apply_copy(&copy, shared.now()) {
                 shared.log.config_changed(core.rules().version());
             }
             let is_held = core.lease().is_held(shared.now());
             drop(core);
-            shared.note_started();
+            shared.finish_start();
             is_held
         }
         Err(error) => {
-            shared.log.dependency("copy of the configuration", false, &error.to_string());
+            shared.log.dependency_changed("copy of the configuration", false, &error.to_string());
             false
         }
     }
@@ -209,16 +209,16 @@
         if tokio::time::timeout(rest, shared.config_changed.notified()).await.is_err() {
             return;
         }
-        let update = shared.config_news.borrow_mut().take();
+        let update = shared.config_update.borrow_mut().take();
         let Some(update) = update else { return };
-        shared.log.notes_unreadable(&update.unreadable, shared.now());
+        shared.log.quarantine_unreadable(&update.unreadable, shared.now());
         let mut core = shared.core.borrow_mut();
-        if core.take_news(*update, shared.now()) {
+        if core.apply_update(*update, shared.now()) {
             shared.log.config_changed(core.rules().version());
         }
         drop(core);
         announce_change(shared);
-        shared.tell_suspects();
+        shared.report_suspects();
     }
 }
 
@@ -228,9 +228,9 @@
     let delta = shared.core.borrow_mut().take_config_change();
     let core = shared.core.borrow();
     let share = core.list_share();
-    let is_announcer = share.is_watching() && share.tells(rand::random());
+    let is_announcer = share.is_watching() && share.should_announce(rand::random());
     let Some(delta) = delta.filter(|_| is_announcer) else { return };
-    if !shared.link.broadcast(&core, &LoadNote::ConfigChanged(Box::new(delta)), NewsTeller::Joint) {
+    if !shared.link.broadcast(&core, &LoadNote::ConfigChanged(Box::new(delta)), NewsTeller::AllWatchers) {
         slog::debug!(shared.log.logger(), "configuration update too long to be announced");
     }
 }
@@ -261,10 +261,10 @@
 
 fn record_lost_store(shared: &RelayShared, was_reachable: bool, error: &crate::Error) {
     shared.counts.borrow_mut().store_failures += 1;
-    shared.away_at.set(Some(shared.now()));
-    shared.note_turned_away();
+    shared.store_failed_at.set(Some(shared.now()));
+    shared.abort_start();
     if was_reachable {
-        shared.log.dependency("store", false, &error.to_string());
+        shared.log.dependency_changed("store", false, &error.to_string());
     }
 }
 
@@ -277,17 +277,17 @@
 ) {
     let (reason, lasted) = loop {
         let started_at = shared.now();
-        let result = (source.watch_config)(revision, shared.watch_wait()).await;
-        shared.counts.borrow().note_store_call(StoreCall::ConfigWatch);
+        let result = (source.watch_config)(revision, shared.watch_timeout()).await;
+        shared.counts.borrow().record_store_call(StoreCall::ConfigWatch);
         match result {
             Ok(ConfigWatch::Changes(_, next)) if next.epoch != revision.epoch => {
-                shared.note_epoch(next.epoch);
+                shared.record_epoch(next.epoch);
                 break (WatchEnd::Forgotten, shared.now().since(started_at));
             }
             Ok(ConfigWatch::Changes(update, next)) => {
                 revision = next;
                 if update.is_some() {
-                    *shared.config_news.borrow_mut() = update;
+                    *shared.config_update.borrow_mut() = update;
                     shared.config_changed.notify_one();
                     tokio::time::sleep(NEWS_STEP).await;
                 }
@@ -296,7 +296,7 @@
                 break (WatchEnd::Forgotten, shared.now().since(started_at));
             }
             Err(error) => {
-                shared.log.dependency("configuration watch", false, &error.to_string());
+                shared.log.dependency_changed("configuration watch", false, &error.to_string());
                 break (WatchEnd::Failed, shared.now().since(started_at));
             }
         }
--- a/src/relay/discovery/follow_quarantine.rs
+++ b/src/relay/discovery/follow_quarantine.rs
@@ -17,7 +17,7 @@
 /// Writes due changes for as long as the process runs.
 pub(crate) async fn follow_quarantine(shared: Rc<RelayShared>, source: Rc<PlatformFeed>) {
     loop {
-        let due = shared.core.borrow().quarantine().holds().write_due();
+        let due = shared.core.borrow().quarantine().quarantined().write_due();
         wait_until(&shared, due).await;
         write_changes(&shared, &source).await;
         tokio::time::sleep(WRITE_DELAY).await;
@@ -26,7 +26,7 @@
 
 /// Waits until `due`, or until a signal that there is an earlier moment.
 async fn wait_until(shared: &RelayShared, due: Option<Tick>) {
-    let notified = shared.quarantine_due.notified();
+    let notified = shared.quarantine_write_due.notified();
     let Some(due) = due else { return notified.await };
     // If the wait is cut short, the caller finds nothing due.
     drop(tokio::time::timeout(due.since(shared.now()), notified).await);
@@ -38,11 +38,11 @@
     let records = shared.core.borrow_mut().quarantine_to_write(now);
     let Some(records) = records else { return };
     let result = (source.write_quarantine)(revision, records.clone()).await;
-    shared.counts.borrow().note_store_call(StoreCall::QuarantineWrite);
+    shared.counts.borrow().record_store_call(StoreCall::QuarantineWrite);
     match result {
         Ok(WriteEnd::Done(revision)) => {
-            shared.note_epoch(revision.epoch);
-            let is_known = shared.core.borrow_mut().note_written(&records, revision, shared.now());
+            shared.record_epoch(revision.epoch);
+            let is_known = shared.core.borrow_mut().record_written(&records, revision, shared.now());
             if !is_known {
                 reload(shared, source).await;
             }
@@ -50,7 +50,7 @@
         Ok(WriteEnd::Conflict) => reload(shared, source).await,
         Err(error) => {
             shared.counts.borrow_mut().store_failures += 1;
-            shared.log.dependency("quarantine in the store", false, &error.to_string());
+            shared.log.dependency_changed("quarantine in the store", false, &error.to_string());
         }
     }
 }
@@ -60,13 +60,13 @@
     let sent_at = shared.now();
     match read_proof(shared, source).await {
         Ok(Some(read)) => {
-            shared.note_epoch(read.revision.epoch);
-            shared.take_read(read, sent_at);
+            shared.record_epoch(read.revision.epoch);
+            shared.apply_read(read, sent_at);
         }
         Ok(None) => {}
         Err(error) => {
             shared.counts.borrow_mut().store_failures += 1;
-            shared.log.dependency("quarantine in the store", false, &error.to_string());
+            shared.log.dependency_changed("quarantine in the store", false, &error.to_string());
         }
     }
 }
--- a/src/relay/discovery/follow_targets.rs
+++ b/src/relay/discovery/follow_targets.rs
@@ -45,7 +45,7 @@
 pub(crate) async fn follow_targets(shared: Rc<RelayShared>, source: Rc<PlatformFeed>) {
     let mut received_at = shared.now();
     let mut known_at = received_at;
-    let mut outages = shared.outages.subscribe();
+    let mut outages = shared.store_recoveries.subscribe();
     loop {
         outages.mark_unchanged();
         let Some(mut position) = read_list(&shared, &source, received_at, known_at).await else {
@@ -69,7 +69,7 @@
 async fn wait_for_list(shared: &RelayShared, outages: &mut watch::Receiver<u64>) {
     loop {
         let ended = tokio::time::timeout(LIST_RETRY_DELAY, outages.changed()).await;
-        if ended.is_ok() || shared.core.borrow().probes_store() {
+        if ended.is_ok() || shared.core.borrow().should_probe_store() {
             return;
         }
     }
@@ -96,8 +96,8 @@
             // All changes up to this revision are known.
             let next = {
                 let core = shared.core.borrow();
-                let revision = position.revision.max(core.list_share().known());
-                let unchanged_since = position.unchanged_since.max(core.list_share().mark());
+                let revision = position.revision.max(core.list_share().known_up_to());
+                let unchanged_since = position.unchanged_since.max(core.list_share().changed_at());
                 ListPosition { revision, unchanged_since, ..position }
             };
             match (is_behind, is_watching) {
@@ -119,7 +119,7 @@
 ) -> Option<ListPosition> {
     let next = watch_for(shared, source, position, CATCH_UP_TIMEOUT).await?;
     // Earlier changes would have been returned at once.
-    shared.core.borrow_mut().note_caught_up(next.revision);
+    shared.core.borrow_mut().record_caught_up(next.revision);
     let is_behind = shared.core.borrow().list_share().is_behind(shared.now());
     (!is_behind).then_some(next)
 }
@@ -133,33 +133,33 @@
 ) -> Option<ListPosition> {
     let sent_at = shared.now();
     let result = (source.list_targets)().await;
-    shared.counts.borrow().note_store_call(StoreCall::ListRead);
+    shared.counts.borrow().record_store_call(StoreCall::ListRead);
     let now = shared.now();
     match result {
         Ok(list) => {
             let revision = list.revision;
-            shared.note_epoch(revision.epoch);
+            shared.record_epoch(revision.epoch);
             if revision.epoch < shared.core.borrow().store_epoch() {
                 // The read was under way while the store was restored from a backup.
                 return None;
             }
             let is_after_outage = now.since(received_at) > MAX_WATCH_WAIT + OUTAGE_THRESHOLD;
-            let is_after_outage = is_after_outage || shared.was_away(now);
+            let is_after_outage = is_after_outage || shared.was_store_unreachable(now);
             shared.log.entries_unreadable(&list.unreadable, now);
             let (change, update) =
-                shared.core.borrow_mut().take_reread(list, is_after_outage, known_at, now);
+                shared.core.borrow_mut().apply_reread(list, is_after_outage, known_at, now);
             shared.log.targets_changed(&change);
-            shared.note_started();
+            shared.finish_start();
             if let Some(update) = update {
                 announce_update(shared, update);
             }
             Some(ListPosition { revision, unchanged_since: revision, known_at: sent_at })
         }
         Err(error) => {
-            shared.away_at.set(Some(now));
+            shared.store_failed_at.set(Some(now));
             shared.counts.borrow_mut().store_failures += 1;
-            shared.note_turned_away();
-            shared.log.dependency("target list", false, &error.to_string());
+            shared.abort_start();
+            shared.log.dependency_changed("target list", false, &error.to_string());
             None
         }
     }
@@ -172,7 +172,7 @@
     source: &PlatformFeed,
     position: ListPosition,
 ) -> Option<ListPosition> {
-    watch_for(shared, source, position, shared.watch_wait()).await
+    watch_for(shared, source, position, shared.watch_timeout()).await
 }
 
 async fn watch_for(
@@ -184,10 +184,10 @@
     let ListPosition { revision, unchanged_since, known_at } = position;
     let started_at = shared.now();
     let result = (source.watch_targets)(revision, wait).await;
-    shared.counts.borrow().note_store_call(StoreCall::ListWatch);
+    shared.counts.borrow().record_store_call(StoreCall::ListWatch);
     match result {
         Ok(TargetWatch::Changes(update)) if update.revision.epoch != revision.epoch => {
-            shared.note_epoch(update.revision.epoch);
+            shared.record_epoch(update.revision.epoch);
             None
         }
         Ok(TargetWatch::Changes(update)) => {
@@ -195,14 +195,14 @@
             let next = update.revision;
             let (changes, unreadable) = update.into_changes();
             shared.log.entries_unreadable(&unreadable, now);
-            let is_after_outage = shared.was_away(now);
+            let is_after_outage = shared.was_store_unreachable(now);
             // A change that is reported at once may be older than the watch.
             let is_late = now.since(started_at) > REPORT_DELAY;
             let known_at = if is_late { now - REPORT_DELAY } else { known_at };
             let is_changed = !changes.is_empty();
-            let watched = WatchedChanges { changes, since: unchanged_since, mark: next, known_at };
+            let watched = WatchedChanges { changes, since: unchanged_since, revision: next, known_at };
             let (change, update) =
-                shared.core.borrow_mut().take_watched(watched, is_after_outage, now);
+                shared.core.borrow_mut().apply_watched(watched, is_after_outage, now);
             shared.log.targets_changed(&change);
             // Most entries of a large fleet stop watching once they know its targets.
             follow_list_share(shared, now);
@@ -217,7 +217,7 @@
         }
         Ok(TargetWatch::Forgotten) => None,
         Err(error) => {
-            shared.log.dependency("target watch", false, &error.to_string());
+            shared.log.dependency_changed("target watch", false, &error.to_string());
             None
         }
     }
@@ -227,16 +227,16 @@
 fn announce_update(shared: &RelayShared, update: ListNews) {
     let mut core = shared.core.borrow_mut();
     let share = core.list_share();
-    if !share.is_watching() || !share.tells(rand::random()) {
+    if !share.is_watching() || !share.should_announce(rand::random()) {
         return;
     }
-    let (count, revision) = (update.changes.len(), update.mark);
+    let (count, revision) = (update.changes.len(), update.revision);
     // Others may wait between two answers, and would see the change later.
-    if !shared.link.broadcast(&core, &LoadNote::ListChanged(update), NewsTeller::Alone) {
+    if !shared.link.broadcast(&core, &LoadNote::TargetListChanged(update), NewsTeller::OneEntry) {
         slog::debug!(shared.log.logger(), "target list update too long to be announced";
             "changes" => count);
     }
-    core.note_list_announced(revision);
+    core.record_list_announced(revision);
 }
 
 /// Returns the delay before the next answer of the watch is requested.
--- a/src/relay/discovery/freshness.rs
+++ b/src/relay/discovery/freshness.rs
@@ -30,7 +30,7 @@
 /// Lease on the configuration, renewed by each read that proves it current.
 #[derive(Debug)]
 pub struct FreshnessLease {
-    span: Duration,
+    duration: Duration,
     policy: StalePolicy,
     proven_at: Option<Tick>,
     /// The newest proof that other entries are known to have.
@@ -42,7 +42,7 @@
     #[must_use]
     pub fn new(bound: Duration, policy: StalePolicy) -> Self {
         FreshnessLease {
-            span: bound.saturating_sub(MARGIN),
+            duration: bound.saturating_sub(MARGIN),
             policy,
             proven_at: None,
             others_proven_at: None,
@@ -51,7 +51,7 @@
 
     /// Applies a changed bound and policy.
     pub fn set_bound(&mut self, bound: Duration, policy: StalePolicy) {
-        self.span = bound.saturating_sub(MARGIN);
+        self.duration = bound.saturating_sub(MARGIN);
         self.policy = policy;
     }
 
@@ -61,7 +61,7 @@
     }
 
     /// Records that another entry proved its configuration at `at`.
-    pub fn note_other(&mut self, at: Tick) {
+    pub fn record_other_proof(&mut self, at: Tick) {
         self.others_proven_at = self.others_proven_at.max(Some(at));
     }
 
@@ -87,7 +87,7 @@
     /// Returns `true` if only this process is cut off: others hold a proof and this process's
     /// lapsed earlier, so that the others serve callers better.
     #[must_use]
-    pub fn is_behind(&self, now: Tick) -> bool {
+    pub fn is_isolated(&self, now: Tick) -> bool {
         self.others_hold(now)
             && !self.is_held(now)
             && self.others_proven_at > self.proven_at.map(|at| at + ISOLATED_LAG)
@@ -100,8 +100,8 @@
 
     /// Returns how long a proof lasts.
     #[must_use]
-    pub fn span(&self) -> Duration {
-        self.span
+    pub fn duration(&self) -> Duration {
+        self.duration
     }
 
     /// Returns when the configuration was last proven current.
@@ -117,6 +117,6 @@
     }
 
     fn is_current(&self, proof: Option<Tick>, now: Tick) -> bool {
-        proof.is_some_and(|at| now.since(at) < self.span)
+        proof.is_some_and(|at| now.since(at) < self.duration)
     }
 }
--- a/src/relay/discovery/list_share.rs
+++ b/src/relay/discovery/list_share.rs
@@ -64,9 +64,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NewsTeller {
     /// All watchers announce it at the same moment.
-    Joint,
+    AllWatchers,
     /// Only this entry announces it: others wait between two answers, or did not watch.
-    Alone,
+    OneEntry,
 }
 
 impl NewsTeller {
@@ -74,11 +74,11 @@
     /// agent reaches the entries that use its engine: the larger the fleet, the smaller that
     /// fraction.
     #[must_use]
-    pub fn agents(self, used: usize, engines: usize) -> usize {
+    pub fn relay_agents(self, used: usize, engines: usize) -> usize {
         let reach = used.max(1) as f64 / engines.max(1) as f64;
         let copies = match self {
-            NewsTeller::Joint => COPIES_PER_ENTRY * JOINT_FRACTION,
-            NewsTeller::Alone => COPIES_PER_ENTRY,
+            NewsTeller::AllWatchers => COPIES_PER_ENTRY * JOINT_FRACTION,
+            NewsTeller::OneEntry => COPIES_PER_ENTRY,
         };
         ((copies / reach).ceil() as usize).max(MIN_RELAY_AGENTS)
     }
@@ -92,7 +92,7 @@
     pub since: StoreRevision,
     /// Revision of the last of these changes.
     #[serde(rename = "m")]
-    pub mark: StoreRevision,
+    pub revision: StoreRevision,
     /// Upper bound of the time since the store applied them, in milliseconds.
     #[serde(rename = "g")]
     pub age_ms: u32,
@@ -118,9 +118,9 @@
     is_watching: bool,
     /// Whether the initial watchers of a large fleet were chosen.
     has_initial_watchers: bool,
-    mark: StoreRevision,
+    changed_at: StoreRevision,
     /// Revision up to which all changes are known.
-    known: StoreRevision,
+    known_up_to: StoreRevision,
     /// Revision up to which changes were announced to others, by this entry or another.
     announced: StoreRevision,
     /// Revision of the last list that was read.
@@ -142,8 +142,8 @@
         ListShare {
             is_watching: true,
             has_initial_watchers: false,
-            mark: StoreRevision::default(),
-            known: StoreRevision::default(),
+            changed_at: StoreRevision::default(),
+            known_up_to: StoreRevision::default(),
             announced: StoreRevision::default(),
             read_at: StoreRevision::default(),
             newest: StoreRevision::default(),
@@ -165,8 +165,8 @@
 
     /// Returns the revision of the last change that is known here.
     #[must_use]
-    pub fn mark(&self) -> StoreRevision {
-        self.mark
+    pub fn changed_at(&self) -> StoreRevision {
+        self.changed_at
     }
 
     /// Returns the revision up to which changes were announced to others. No later one is reported:
@@ -177,38 +177,38 @@
     }
 
     /// Records that all changes up to a revision were announced to others.
-    pub fn note_announced(&mut self, revision: StoreRevision) {
+    pub fn record_announced(&mut self, revision: StoreRevision) {
         self.announced = self.announced.max(revision);
     }
 
     /// Returns the revision up to which all changes are known here.
     #[must_use]
-    pub fn known(&self) -> StoreRevision {
-        self.known
+    pub fn known_up_to(&self) -> StoreRevision {
+        self.known_up_to
     }
 
     /// Records a list that was read and is current at `revision`; its targets last changed at
     /// `changed_at`.
-    pub fn note_list(&mut self, revision: StoreRevision, changed_at: StoreRevision) {
+    pub fn record_list(&mut self, revision: StoreRevision, changed_at: StoreRevision) {
         // Changes that others announced are in the list, unless they are later than it.
         let newest = if self.newest <= revision { self.newest } else { StoreRevision::default() };
         self.read_at = revision;
-        self.mark = self.mark.max(changed_at).max(newest);
-        self.note_announced(self.mark);
-        self.note_caught_up(revision);
+        self.changed_at = self.changed_at.max(changed_at).max(newest);
+        self.record_announced(self.changed_at);
+        self.record_caught_up(revision);
     }
 
     /// Records that the last list that was read showed a change. A removed target leaves no
     /// revision in the list, so the announced revision has to show the change to others.
-    pub fn note_difference(&mut self) {
+    pub fn record_difference(&mut self) {
         self.advance_to(self.read_at);
-        self.note_announced(self.read_at);
+        self.record_announced(self.read_at);
     }
 
     /// Chooses the initial watchers once many targets are listed: in a large fleet a few entries
     /// watch, by `jitter` from 0 to 1, until they learn of others. Targets of a starting fleet are
     /// listed one by one. Returns `true` if this entry stops watching.
-    pub fn begin(&mut self, targets: usize, jitter: f64, now: Tick) -> bool {
+    pub fn choose_initial_watchers(&mut self, targets: usize, jitter: f64, now: Tick) -> bool {
         let is_large = targets as f64 > INITIAL_WATCHERS;
         if !is_large || self.has_initial_watchers {
             return false;
@@ -223,36 +223,36 @@
     }
 
     /// Records that the watch of this entry showed all changes up to `revision`.
-    pub fn note_watched(&mut self, revision: StoreRevision) {
+    pub fn record_watched(&mut self, revision: StoreRevision) {
         self.advance_to(revision);
     }
 
     /// Records that the store returned all changes up to `revision`. Updates about later ones may
     /// be under way.
-    pub fn note_caught_up(&mut self, revision: StoreRevision) {
-        self.known = self.known.max(revision).max(self.mark);
+    pub fn record_caught_up(&mut self, revision: StoreRevision) {
+        self.known_up_to = self.known_up_to.max(revision).max(self.changed_at);
         self.behind_since = None;
     }
 
     /// Compares an update with what is known, and adopts its revision if it is the next one.
-    pub fn take_news(&mut self, update: &ListNews, now: Tick) -> NewsVerdict {
-        if update.mark <= self.known {
+    pub fn apply_update(&mut self, update: &ListNews, now: Tick) -> NewsVerdict {
+        if update.revision <= self.known_up_to {
             return NewsVerdict::Known;
         }
         // An update that spans the restore of the store from a backup lacks the changes that were
         // lost.
-        let is_of_epoch = [update.since.epoch, update.mark.epoch] == [self.known.epoch; 2];
-        if update.since > self.known || !is_of_epoch {
-            self.record_newest(update.mark, now);
+        let is_of_epoch = [update.since.epoch, update.revision.epoch] == [self.known_up_to.epoch; 2];
+        if update.since > self.known_up_to || !is_of_epoch {
+            self.record_newest(update.revision, now);
             return NewsVerdict::Gap;
         }
-        self.advance_to(update.mark);
-        self.note_announced(update.mark);
+        self.advance_to(update.revision);
+        self.record_announced(update.revision);
         NewsVerdict::Next
     }
 
     /// Records an agent's report on the watchers that it knows.
-    pub fn note_agent(&mut self, watchers: u32, revision: Option<StoreRevision>, now: Tick) {
+    pub fn record_agent_report(&mut self, watchers: u32, revision: Option<StoreRevision>, now: Tick) {
         self.agents += 1;
         self.watchers += watchers;
         if let Some(revision) = revision {
@@ -271,14 +271,14 @@
     /// as after a start of the whole fleet, a few announce. A process that has just started does
     /// not know the number of watchers.
     #[must_use]
-    pub fn tells(&self, jitter: f64) -> bool {
+    pub fn should_announce(&self, jitter: f64) -> bool {
         self.others.is_some_and(|others| jitter < DESIRED_WATCHERS / (others + 1.0))
     }
 
     /// Decides at intervals whether to watch. `fraction` is the fraction of the fleet that an agent
     /// sees, `entries` the number of entries, `jitter` from 0 to 1. Returns `true` if the decision
     /// changed.
-    pub fn decide(&mut self, fraction: f64, entries: usize, jitter: f64, now: Tick) -> bool {
+    pub fn decide_watching(&mut self, fraction: f64, entries: usize, jitter: f64, now: Tick) -> bool {
         if now.since(self.decided_at) < DECISION_INTERVAL {
             return false;
         }
@@ -304,15 +304,15 @@
 
     fn record_newest(&mut self, revision: StoreRevision, now: Tick) {
         self.newest = self.newest.max(revision);
-        if self.newest > self.known {
+        if self.newest > self.known_up_to {
             self.behind_since.get_or_insert(now);
         }
     }
 
     fn advance_to(&mut self, revision: StoreRevision) {
-        self.mark = self.mark.max(revision);
-        self.known = self.known.max(self.mark);
-        if self.newest <= self.known {
+        self.changed_at = self.changed_at.max(revision);
+        self.known_up_to = self.known_up_to.max(self.changed_at);
+        if self.newest <= self.known_up_to {
             self.behind_since = None;
         }
     }
--- a/src/relay/discovery/proof_share.rs
+++ b/src/relay/discovery/proof_share.rs
@@ -121,13 +121,13 @@
     /// probes of hundreds of entries are a load in themselves, and entries learn of the store's
     /// return from one another.
     #[must_use]
-    pub fn probes(entries: usize, jitter: f64) -> bool {
+    pub fn should_probe(entries: usize, jitter: f64) -> bool {
         jitter * entries as f64 <= PROBING_ENTRIES
     }
 
     /// Records an agent's report that the entry at `address` proved its configuration at about
     /// `proven_at`.
-    pub fn note_source(&mut self, address: SocketAddr, proven_at: Tick) {
+    pub fn record_source(&mut self, address: SocketAddr, proven_at: Tick) {
         if self.best.as_ref().is_none_or(|best| best.proven_at < proven_at) {
             self.best = Some(ProofSource { address, proven_at });
         }
@@ -135,14 +135,14 @@
 
     /// Returns the entry to query, if its proof is sufficiently newer than the local one. It is
     /// queried once: then its proof has to be reported anew.
-    pub fn ask(&mut self, nonce: u64, proven_at: Tick, now: Tick) -> Option<SocketAddr> {
+    pub fn next_query(&mut self, nonce: u64, proven_at: Tick, now: Tick) -> Option<SocketAddr> {
         let best = self.best.take().filter(|best| best.proven_at >= proven_at + MIN_GAIN)?;
         self.query = Some(OpenQuery { nonce, sent_at: now });
         Some(best.address)
     }
 
     /// Applies an answer. `revision` is that of the local configuration.
-    pub fn take_answer(&mut self, proof: &PeerProof, revision: StoreRevision) -> PeerVerdict {
+    pub fn apply_answer(&mut self, proof: &PeerProof, revision: StoreRevision) -> PeerVerdict {
         let query = self.query.take_if(|query| query.nonce == proof.nonce);
         let Some(query) = query else { return PeerVerdict::Useless };
         // Ticks count from the start of the process.
--- a/src/relay/discovery/watch_pace.rs
+++ b/src/relay/discovery/watch_pace.rs
@@ -44,7 +44,7 @@
 
 /// Returns the longest wait of a watch of a store that remembers `history`.
 #[must_use]
-pub fn watch_wait(history: Duration) -> Duration {
+pub fn watch_timeout(history: Duration) -> Duration {
     MAX_WATCH_WAIT.min(history.mul_f64(HISTORY_FRACTION))
 }
 
--- a/src/relay/peers/adviser.rs
+++ b/src/relay/peers/adviser.rs
@@ -61,9 +61,9 @@
             poll = &mut polling, if !polling.is_terminated() => {
                 let was_down = health.is_down();
                 if let Some(started_ms) = poll.started_ms {
-                    health.note_born(started_ms);
+                    health.record_started(started_ms);
                 }
-                if health.note_report(poll.result) {
+                if health.record_report(poll.result) {
                     send_all(&socket, subscribers.to_down());
                 }
                 if let Some(exit) = health.take_exit() {
@@ -77,21 +77,21 @@
                 // A failed read is the ICMP error for a datagram that no process received.
                 let Ok((length, from)) = received else { continue };
                 match LoadNote::from_bytes(&buffer[..length]) {
-                    Ok(LoadNote::Suspect) => {
-                        if health.note_suspicion(from, clock.now()) {
+                    Ok(LoadNote::SuspectEngine) => {
+                        if health.record_suspicion(from, clock.now()) {
                             send_all(&socket, subscribers.to_down());
                         }
                     }
                     Ok(message) => {
                         let pace = health.pace_percent();
-                        send_all(&socket, subscribers.on_note(&message, from, pace, clock.now()));
+                        send_all(&socket, subscribers.on_message(&message, from, pace, clock.now()));
                     }
                     Err(error) => slog::debug!(logger, "invalid datagram ignored";
                         "error" => %error),
                 }
             }
         }
-        health.set_scarce(subscribers.is_scarce());
+        health.set_rate_limited(subscribers.is_rate_limited());
         if polling.is_terminated() && health.is_due(subscribers.is_busy(), clock.now()) {
             let poll = poll_report(&client, &protocol, settings.target, &logger);
             polling = poll.boxed_local().fuse();
@@ -104,7 +104,7 @@
 fn send_all(socket: &UdpSocket, messages: Vec<NoteOut>) {
     for out in messages {
         // A message that can not be sent now is worthless later.
-        if let Ok(bytes) = out.note.to_bytes() {
+        if let Ok(bytes) = out.message.to_bytes() {
             drop(socket.try_send_to(&bytes, out.to));
         }
     }
@@ -143,7 +143,7 @@
     match (protocol.parse_report)(&body) {
         Ok(report) => {
             let result = ReportEnd::Pace((report.pace * 100.0) as u32);
-            EnginePoll { result, started_ms: report.born_ms }
+            EnginePoll { result, started_ms: report.started_ms }
         }
         Err(error) => {
             slog::warn!(logger, "could not parse the target's report"; "error" => %error);
--- a/src/relay/peers/config_copy.rs
+++ b/src/relay/peers/config_copy.rs
@@ -88,7 +88,7 @@
     let mut request = Request::new(full(""));
     let uri = format!("http://{entry}{COPY_PATH}");
     *request.uri_mut() = uri.parse().unwrap_or_default();
-    let response = shared.orders.call(request, COPY_TIMEOUT).await?;
+    let response = shared.http_client.call(request, COPY_TIMEOUT).await?;
     if response.status() != StatusCode::OK {
         return Err(Error::from_answer(response.status().as_u16(), uri));
     }
--- a/src/relay/peers/engine_watch.rs
+++ b/src/relay/peers/engine_watch.rs
@@ -131,13 +131,13 @@
     }
 
     /// Sets whether the engine is rate-limited.
-    pub fn set_scarce(&mut self, is_rate_limited: bool) {
+    pub fn set_rate_limited(&mut self, is_rate_limited: bool) {
         self.is_rate_limited = is_rate_limited;
     }
 
     /// Records that the entry at `from` suspects the engine. Returns `true` if all entries are to
     /// be informed that it is down, since others suspect it as well.
-    pub fn note_suspicion(&mut self, from: SocketAddr, now: Tick) -> bool {
+    pub fn record_suspicion(&mut self, from: SocketAddr, now: Tick) -> bool {
         self.is_suspected = true;
         self.suspicions.retain(|(other, at)| *other != from && now.since(*at) <= SUSPICION_WINDOW);
         self.suspicions.push((from, now));
@@ -170,7 +170,7 @@
     }
 
     /// Records the start time of the engine's instance from a report.
-    pub fn note_born(&mut self, started_ms: u64) {
+    pub fn record_started(&mut self, started_ms: u64) {
         if self.started_ms.replace(started_ms).is_some_and(|known| known != started_ms) {
             self.instance_messages_left = INSTANCE_MESSAGES;
         }
@@ -188,7 +188,7 @@
 
     /// Records the result of a poll. Returns `true` if entries are to be informed that the engine
     /// is down.
-    pub fn note_report(&mut self, result: ReportEnd) -> bool {
+    pub fn record_report(&mut self, result: ReportEnd) -> bool {
         match result {
             ReportEnd::Pace(pace) => {
                 self.pace_percent = pace;
--- a/src/relay/peers/load_link.rs
+++ b/src/relay/peers/load_link.rs
@@ -50,13 +50,13 @@
     /// about its request.
     pub(crate) fn send(&self, core: &RelayCore, message: &LoadNote) {
         match message {
-            LoadNote::Placed { target, .. } | LoadNote::Ended { target, .. } => {
+            LoadNote::StreamPlaced { target, .. } | LoadNote::StreamEnded { target, .. } => {
                 if let Some(target) = core.targets.get(target) {
                     self.send_beside(target.record.address, message);
                 }
             }
-            LoadNote::Suspected(report) => self.send_report(core, report.digest, message),
-            LoadNote::Cleared(digest) => self.send_report(core, *digest, message),
+            LoadNote::RequestSuspected(report) => self.send_report(core, report.digest, message),
+            LoadNote::RequestCleared(digest) => self.send_report(core, *digest, message),
             _ => {}
         }
     }
@@ -82,7 +82,7 @@
     ) -> bool {
         let Ok(bytes) = message.to_bytes() else { return false };
         let engines = || core.targets.iter().filter(|target| target.model.is_some());
-        let count = announcer.agents(used_engines(core).count(), engines().count());
+        let count = announcer.relay_agents(used_engines(core).count(), engines().count());
         // Any agent relays messages, also one whose engine this entry does not use.
         let addresses = engines().map(|target| target.record.address);
         let agents = addresses.choose_multiple(&mut rand::rng(), count);
@@ -95,7 +95,7 @@
         let Some(fragments) = MessageFragment::split(&bytes.into(), rand::random()) else {
             return false;
         };
-        for fragment in fragments.into_iter().map(LoadNote::Part) {
+        for fragment in fragments.into_iter().map(LoadNote::Fragment) {
             for address in &agents {
                 self.send_beside(*address, &fragment);
             }
@@ -104,8 +104,8 @@
     }
 
     /// Asks the agent beside a target to check whether it is down.
-    pub(crate) fn suspect(&self, target: SocketAddr) {
-        self.send_beside(target, &LoadNote::Suspect);
+    pub(crate) fn report_suspicion(&self, target: SocketAddr) {
+        self.send_beside(target, &LoadNote::SuspectEngine);
     }
 
     /// Sends a message to another process.
@@ -130,10 +130,10 @@
 
     /// Sends the known rates to the agents, if there are any.
     fn send_rates(&self, core: &mut RelayCore, now: Tick) {
-        for (beside, update) in core.to_giver_rates(now) {
+        for (beside, update) in core.to_issuer_rates(now) {
             self.send_beside(beside, &LoadNote::Rates(vec![update]));
         }
-        let rates = core.to_rates(now);
+        let rates = core.to_rate_updates(now);
         if rates.is_empty() {
             return;
         }
--- a/src/relay/peers/load_note.rs
+++ b/src/relay/peers/load_note.rs
@@ -42,7 +42,7 @@
     },
     /// The agent's acknowledgement of a subscription.
     #[serde(rename = "w")]
-    Welcome {
+    SubscriptionAck {
         /// The target instance beside the agent, if it knows one.
         target: Arc<str>,
         /// Number of entries that use the engine.
@@ -64,42 +64,42 @@
     },
     /// The target list changed. Relayed by the agent to the other entries.
     #[serde(rename = "c")]
-    ListChanged(ListNews),
+    TargetListChanged(ListNews),
     /// The configuration changed. Relayed by the agent to the other entries.
     #[serde(rename = "v")]
     ConfigChanged(Box<ConfigDelta>),
     /// A fragment of a message that is longer than a datagram. Relayed by the agent to the other
     /// entries.
     #[serde(rename = "t")]
-    Part(MessageFragment),
+    Fragment(MessageFragment),
     /// An entry has reason to suspect that the engine is down. The agent checks it.
     #[serde(rename = "s")]
-    Suspect,
+    SuspectEngine,
     /// The engine beside the agent is down. Sent repeatedly while it is.
     #[serde(rename = "d")]
-    Down,
+    EngineDown,
     /// The engine beside the agent has exited. Sent a few times.
     #[serde(rename = "x")]
-    Exited {
+    EngineExited {
         /// Start time of the next instance, in Unix milliseconds, if there is one.
         #[serde(rename = "b")]
         next_ms: Option<u64>,
     },
     /// Targets crashed while they ran a request. Agents merge these reports and relay them.
     #[serde(rename = "u")]
-    Suspected(SuspectNews),
+    RequestSuspected(SuspectNews),
     /// A target answered a request that was suspected.
     #[serde(rename = "k")]
-    Cleared(RequestDigest),
+    RequestCleared(RequestDigest),
     /// An entry queries another one for the age of its proof.
     #[serde(rename = "q")]
-    AskProof {
+    QueryProof {
         /// Identifies the query; other processes can not guess it.
         nonce: u64,
     },
     /// The answer, made after the query was received.
     #[serde(rename = "a")]
-    TellProof {
+    AnswerProof {
         /// Identifies the query.
         nonce: u64,
         /// Revision of the configuration there.
@@ -118,7 +118,7 @@
     Rates(Vec<RateNews>),
     /// An entry asks for a permit to send to a rate-limited target.
     #[serde(rename = "m")]
-    AskPermit {
+    RequestPermit {
         /// Identifies the request.
         nonce: u64,
         /// The requested permit.
@@ -126,7 +126,7 @@
     },
     /// An entry asks for a second attempt beyond its share of the retry budget.
     #[serde(rename = "b")]
-    AskSlack {
+    RequestRetryGrant {
         /// Identifies the request.
         nonce: u64,
         /// The requested attempt.
@@ -134,7 +134,7 @@
     },
     /// The answer to either request.
     #[serde(rename = "n")]
-    TellPermit {
+    AnswerPermit {
         /// Identifies the request.
         nonce: u64,
         /// The answer.
@@ -142,10 +142,10 @@
     },
     /// An entry had to send to a rate-limited target without a permit.
     #[serde(rename = "o")]
-    Spent(TargetLife),
+    SentWithoutPermit(TargetLife),
     /// A stream was placed on the engine.
     #[serde(rename = "p")]
-    Placed {
+    StreamPlaced {
         /// The engine.
         #[serde(rename = "t")]
         target: Arc<str>,
@@ -158,7 +158,7 @@
     },
     /// A stream has left the engine.
     #[serde(rename = "e")]
-    Ended {
+    StreamEnded {
         /// The engine.
         #[serde(rename = "t")]
         target: Arc<str>,
--- a/src/relay/peers/receive.rs
+++ b/src/relay/peers/receive.rs
@@ -26,7 +26,7 @@
         };
         let now = shared.now();
         match message {
-            LoadNote::Part(fragment) => {
+            LoadNote::Fragment(fragment) => {
                 let complete = fragments.insert(fragment, now);
                 match complete.map(|bytes| LoadNote::from_bytes(&bytes)) {
                     Some(Ok(message)) => apply_update(&shared, message, now),
@@ -37,35 +37,35 @@
                     None => {}
                 }
             }
-            LoadNote::AskProof { nonce } => {
-                if let Some(answer) = shared.core.borrow().tell_proof(nonce, now) {
+            LoadNote::QueryProof { nonce } => {
+                if let Some(answer) = shared.core.borrow().answer_proof_request(nonce, now) {
                     shared.link.send_to(from, &answer);
                 }
             }
-            message @ (LoadNote::ListChanged(_) | LoadNote::ConfigChanged(_)) => {
+            message @ (LoadNote::TargetListChanged(_) | LoadNote::ConfigChanged(_)) => {
                 apply_update(&shared, message, now);
             }
-            LoadNote::Down => shared.core.borrow_mut().note_down(from.ip(), now),
-            LoadNote::Exited { next_ms } => {
-                shared.core.borrow_mut().note_exited(from.ip(), next_ms, now);
-                shared.tell_suspects();
+            LoadNote::EngineDown => shared.core.borrow_mut().record_down(from.ip(), now),
+            LoadNote::EngineExited { next_ms } => {
+                shared.core.borrow_mut().record_exit(from.ip(), next_ms, now);
+                shared.report_suspects();
             }
-            LoadNote::Suspected(report) => {
-                shared.core.borrow_mut().take_suspect(&report, now);
-                shared.tell_suspects();
+            LoadNote::RequestSuspected(report) => {
+                shared.core.borrow_mut().apply_suspect_report(&report, now);
+                shared.report_suspects();
             }
-            LoadNote::Cleared(digest) => shared.core.borrow_mut().take_cleared(&digest),
-            LoadNote::Rates(updates) => shared.core.borrow_mut().take_rates(&updates, now),
-            LoadNote::TellPermit { nonce, reply } => shared.take_permit_reply(nonce, reply),
-            LoadNote::TellProof { nonce, revision, config_digest, proof_age_ms, evacuated } => {
+            LoadNote::RequestCleared(digest) => shared.core.borrow_mut().apply_cleared(&digest),
+            LoadNote::Rates(updates) => shared.core.borrow_mut().apply_rates(&updates, now),
+            LoadNote::AnswerPermit { nonce, reply } => shared.deliver_permit_reply(nonce, reply),
+            LoadNote::AnswerProof { nonce, revision, config_digest, proof_age_ms, evacuated } => {
                 let age = Duration::from_millis(proof_age_ms.into());
                 let proof = PeerProof { nonce, revision, config_digest, age, evacuated };
-                shared.take_proof(&proof);
+                shared.apply_proof(&proof);
             }
             message => {
                 let mut core = shared.core.borrow_mut();
                 let message = fill_target_name(&core, message, from);
-                core.take_note(message, now);
+                core.apply_message(message, now);
             }
         }
     }
@@ -74,18 +74,18 @@
 /// Applies an update that another entry sends to all entries.
 fn apply_update(shared: &RelayShared, message: LoadNote, now: Tick) {
     match message {
-        LoadNote::ListChanged(update) => {
-            let is_after_outage = shared.was_away(now);
-            let change = shared.core.borrow_mut().take_list_news(&update, is_after_outage, now);
+        LoadNote::TargetListChanged(update) => {
+            let is_after_outage = shared.was_store_unreachable(now);
+            let change = shared.core.borrow_mut().apply_list_update(&update, is_after_outage, now);
             shared.log.targets_changed(&change);
         }
         LoadNote::ConfigChanged(delta) => {
             let mut core = shared.core.borrow_mut();
-            if core.take_delta(&delta, now) {
+            if core.apply_delta(&delta, now) {
                 shared.log.config_changed(core.rules().version());
             }
             drop(core);
-            shared.tell_suspects();
+            shared.report_suspects();
         }
         _ => {}
     }
@@ -94,7 +94,7 @@
 /// An agent that has not learned the name of its target yet leaves it empty: then it is the target
 /// on the agent's host.
 fn fill_target_name(core: &RelayCore, mut message: LoadNote, from: SocketAddr) -> LoadNote {
-    let LoadNote::Welcome { target, .. } = &mut message else { return message };
+    let LoadNote::SubscriptionAck { target, .. } = &mut message else { return message };
     if target.is_empty()
         && let Some(beside) =
             core.targets.iter().find(|target| target.record.address.ip() == from.ip())
--- a/src/relay/peers/subscriber_set.rs
+++ b/src/relay/peers/subscriber_set.rs
@@ -58,12 +58,12 @@
     /// Its destination.
     pub to: SocketAddr,
     /// Its content.
-    pub note: LoadNote,
+    pub message: LoadNote,
 }
 
 impl SubscriberSet {
     /// Handles a message of an entry and returns the messages to be sent.
-    pub fn on_note(
+    pub fn on_message(
         &mut self,
         message: &LoadNote,
         from: SocketAddr,
@@ -80,48 +80,48 @@
                     Subscriber { entry, received_at, proven_at, list_mark, config_mark };
                 self.handle_subscription(subscriber, from, pace_percent)
             }
-            LoadNote::Placed { key, target, .. } => {
+            LoadNote::StreamPlaced { key, target, .. } => {
                 self.beside = Some(target.clone());
                 self.streams.insert(*key, message.clone());
                 self.to_others(from, message)
             }
-            LoadNote::Ended { key, .. } => {
+            LoadNote::StreamEnded { key, .. } => {
                 self.streams.remove(key);
                 self.to_others(from, message)
             }
-            LoadNote::ListChanged(_) | LoadNote::ConfigChanged(_) | LoadNote::Part(_) => {
+            LoadNote::TargetListChanged(_) | LoadNote::ConfigChanged(_) | LoadNote::Fragment(_) => {
                 self.to_others(from, message)
             }
-            LoadNote::Suspected(report) => self.merge_suspect(report, now),
-            LoadNote::Cleared(digest) => {
-                let was_reported = self.suspects.told_of(*digest).is_some();
-                self.suspects.note_served(digest);
+            LoadNote::RequestSuspected(report) => self.merge_suspect(report, now),
+            LoadNote::RequestCleared(digest) => {
+                let was_reported = self.suspects.shareable_report(*digest).is_some();
+                self.suspects.record_served(digest);
                 if was_reported { self.to_others(from, message) } else { Vec::new() }
             }
             LoadNote::Rates(updates) => {
-                self.permits.take_news(updates, now);
+                self.permits.apply_updates(updates, now);
                 Vec::new()
             }
-            LoadNote::AskPermit { nonce, ask } => {
-                let reply = self.permits.on_ask(ask, now);
-                vec![NoteOut { to: from, note: LoadNote::TellPermit { nonce: *nonce, reply } }]
+            LoadNote::RequestPermit { nonce, ask } => {
+                let reply = self.permits.on_request(ask, now);
+                vec![NoteOut { to: from, message: LoadNote::AnswerPermit { nonce: *nonce, reply } }]
             }
-            LoadNote::AskSlack { nonce, ask } => {
-                let reply = self.slack.on_ask(ask, now);
-                vec![NoteOut { to: from, note: LoadNote::TellPermit { nonce: *nonce, reply } }]
+            LoadNote::RequestRetryGrant { nonce, ask } => {
+                let reply = self.slack.on_request(ask, now);
+                vec![NoteOut { to: from, message: LoadNote::AnswerPermit { nonce: *nonce, reply } }]
             }
-            LoadNote::Spent(life) => {
-                self.permits.note_spent(life, now);
+            LoadNote::SentWithoutPermit(life) => {
+                self.permits.record_unpermitted(life, now);
                 Vec::new()
             }
-            LoadNote::TellPermit { .. }
-            | LoadNote::Exited { .. }
-            | LoadNote::Suspect
-            | LoadNote::Down
-            | LoadNote::Welcome { .. }
+            LoadNote::AnswerPermit { .. }
+            | LoadNote::EngineExited { .. }
+            | LoadNote::SuspectEngine
+            | LoadNote::EngineDown
+            | LoadNote::SubscriptionAck { .. }
             | LoadNote::EntryGone { .. }
-            | LoadNote::AskProof { .. }
-            | LoadNote::TellProof { .. } => Vec::new(),
+            | LoadNote::QueryProof { .. }
+            | LoadNote::AnswerProof { .. } => Vec::new(),
         }
     }
 
@@ -141,7 +141,7 @@
         let others = self.subscribers.iter().filter(|(other, _)| **other != from);
         let config_mark = others.filter_map(|(_, other)| other.config_mark).max();
         let revisions: Vec<StoreRevision> = self.watcher_revisions(from, now).collect();
-        let acknowledgement = LoadNote::Welcome {
+        let acknowledgement = LoadNote::SubscriptionAck {
             target: "".into(),
             entries,
             pace_percent,
@@ -151,7 +151,7 @@
             list_mark: revisions.iter().max().copied(),
             config_mark,
         };
-        let mut out = vec![NoteOut { to: from, note: acknowledgement }];
+        let mut out = vec![NoteOut { to: from, message: acknowledgement }];
         let is_new = known.as_ref().is_none_or(|known| known.entry != entry);
         if is_new {
             self.sent_rates.remove(&from);
@@ -160,16 +160,16 @@
             out.extend(self.drop_entry(known.entry));
         }
         let sent = self.sent_rates.entry(from).or_default();
-        let rates = self.permits.to_news(sent, now);
+        let rates = self.permits.to_updates(sent, now);
         if !rates.is_empty() {
-            out.push(NoteOut { to: from, note: LoadNote::Rates(rates) });
+            out.push(NoteOut { to: from, message: LoadNote::Rates(rates) });
         }
         if is_new {
             out.extend(
-                self.streams.values().map(|message| NoteOut { to: from, note: message.clone() }),
+                self.streams.values().map(|message| NoteOut { to: from, message: message.clone() }),
             );
-            let suspects = self.suspects.to_news().into_iter().map(LoadNote::Suspected);
-            out.extend(suspects.map(|report| NoteOut { to: from, note: report }));
+            let suspects = self.suspects.to_reports().into_iter().map(LoadNote::RequestSuspected);
+            out.extend(suspects.map(|report| NoteOut { to: from, message: report }));
         }
         out
     }
@@ -191,7 +191,7 @@
 
     fn to_others(&self, from: SocketAddr, message: &LoadNote) -> Vec<NoteOut> {
         let others = self.subscribers.keys().filter(|to| **to != from);
-        others.map(|to| NoteOut { to: *to, note: message.clone() }).collect()
+        others.map(|to| NoteOut { to: *to, message: message.clone() }).collect()
     }
 
     /// Drops entries whose subscription has expired, and returns the messages to be sent.
@@ -212,7 +212,7 @@
     fn drop_entry(&mut self, entry: u64) -> Vec<NoteOut> {
         let target = self.streams.iter().find(|(key, _)| key.entry == entry);
         let target = target.and_then(|(_, message)| match message {
-            LoadNote::Placed { target, .. } => Some(target.clone()),
+            LoadNote::StreamPlaced { target, .. } => Some(target.clone()),
             _ => None,
         });
         self.streams.retain(|key, _| key.entry != entry);
@@ -224,33 +224,33 @@
     /// informed of a request that was present at several crashes: of 16 requests on an engine that
     /// crashes, one is the cause.
     fn merge_suspect(&mut self, report: &SuspectNews, now: Tick) -> Vec<NoteOut> {
-        self.suspects.take_news(report, now);
-        let merged = self.suspects.told_of(report.digest);
-        merged.map_or_else(Vec::new, |merged| self.to_all(&LoadNote::Suspected(merged)))
+        self.suspects.apply_report(report, now);
+        let merged = self.suspects.shareable_report(report.digest);
+        merged.map_or_else(Vec::new, |merged| self.to_all(&LoadNote::RequestSuspected(merged)))
     }
 
     /// Returns the messages to be sent after the engine has exited.
     #[must_use]
     pub fn to_exited(&self, next_ms: Option<u64>) -> Vec<NoteOut> {
-        self.to_all(&LoadNote::Exited { next_ms })
+        self.to_all(&LoadNote::EngineExited { next_ms })
     }
 
     fn to_all(&self, message: &LoadNote) -> Vec<NoteOut> {
         let all = self.subscribers.keys();
-        all.map(|to| NoteOut { to: *to, note: message.clone() }).collect()
+        all.map(|to| NoteOut { to: *to, message: message.clone() }).collect()
     }
 
     /// Returns the messages to be sent while the engine is down. They inform every entry that uses
     /// it, so that not each of them has to find out by a failed request.
     #[must_use]
     pub fn to_down(&self) -> Vec<NoteOut> {
-        self.to_all(&LoadNote::Down)
+        self.to_all(&LoadNote::EngineDown)
     }
 
     /// Returns `true` if the engine beside this agent is rate-limited.
     #[must_use]
-    pub fn is_scarce(&self) -> bool {
-        self.beside.as_deref().is_some_and(|name| self.permits.is_scarce(name))
+    pub fn is_rate_limited(&self) -> bool {
+        self.beside.as_deref().is_some_and(|name| self.permits.is_rate_limited(name))
     }
 
     /// Returns `true` if any stream on the engine is known.
--- a/src/relay/proxy/call.rs
+++ b/src/relay/proxy/call.rs
@@ -31,7 +31,7 @@
     let mut series = AttemptSeries::new();
     loop {
         if let Some(fault) = series.check_quarantine(shared, job) {
-            ledger.series_end = Some(SeriesEnd::HeldBack);
+            ledger.series_end = Some(SeriesEnd::Quarantined);
             return Err(fault);
         }
         let Some(mut placement) = series.place(shared, job) else {
@@ -80,7 +80,7 @@
         })?;
     guard.return_connection(&head);
     job.report_answered(shared);
-    (shared.targets.clear_answer)(&mut parts.headers);
+    (shared.target_protocol.clear_answer)(&mut parts.headers);
     parts.headers.remove(CONTENT_LENGTH);
     let is_failure = parts.status.is_server_error();
     let answer = Response::from_parts(parts, complete_body);
@@ -93,7 +93,7 @@
         return Err(fault);
     }
     if !is_failure {
-        shared.core.borrow_mut().note_success(&placement.target);
+        shared.core.borrow_mut().record_success(&placement.target);
     }
     Ok(answer)
 }
--- a/src/relay/proxy/crash_check.rs
+++ b/src/relay/proxy/crash_check.rs
@@ -22,14 +22,14 @@
 /// Probes the address of a plain target unless a probe of that instance is already running.
 pub(crate) fn check_crash(shared: &Rc<RelayShared>, instance: &TargetLife) {
     let Some(address) = plain_address(shared, instance) else { return };
-    if !shared.end_checks.borrow_mut().insert(instance.clone()) {
+    if !shared.crash_checks.borrow_mut().insert(instance.clone()) {
         return;
     }
     let (shared, instance) = (shared.clone(), instance.clone());
     tokio::task::spawn_local(async move {
         probe_address(&shared, &instance, address).await;
-        shared.end_checks.borrow_mut().remove(&instance);
-        shared.tell_suspects();
+        shared.crash_checks.borrow_mut().remove(&instance);
+        shared.report_suspects();
     });
 }
 
@@ -44,7 +44,7 @@
     for _ in 0..MAX_PROBES {
         tokio::time::sleep(PROBE_DELAY).await;
         let Err(fault) = connect(address).await else { return };
-        if !fault.is_refused() || shared.core.borrow_mut().note_unreachable(instance, shared.now())
+        if !fault.is_refused() || shared.core.borrow_mut().record_unreachable(instance, shared.now())
         {
             return;
         }
--- a/src/relay/proxy/dialect.rs
+++ b/src/relay/proxy/dialect.rs
@@ -18,7 +18,7 @@
     /// API key of the caller's account.
     pub key: Option<Arc<str>>,
     /// Time for which the caller waits for the answer.
-    pub patience: Option<Duration>,
+    pub time_limit: Option<Duration>,
     /// Id of the last event of this stream that the caller has received.
     pub resume_after: Option<u64>,
     /// Number of tokens in the prompt.
@@ -70,9 +70,9 @@
     /// Time for which the target keeps the idle connection open.
     pub keep_alive: Option<Duration>,
     /// Whether the target closes the connection after this answer.
-    pub is_last: bool,
+    pub closes_connection: bool,
     /// Address of another target that the answer names as the cause of its failure.
-    pub blamed: Option<SocketAddr>,
+    pub failed_address: Option<SocketAddr>,
     /// What the target reports about itself.
     pub notice: TargetNotice,
 }
@@ -85,7 +85,7 @@
     /// Number of tokens that the memory is reserved for.
     pub tokens: u64,
     /// Time after which the reservation expires unless it is renewed.
-    pub hold: Duration,
+    pub ttl: Duration,
     /// Whether the reservation may wait for memory that is not free yet. The target admits no new
     /// requests while a reservation waits.
     pub may_wait: bool,
@@ -117,7 +117,7 @@
     /// Slowdown: the factor by which the target is slower than declared.
     pub pace: f64,
     /// Start time in Unix milliseconds; `None` if the target does not state it.
-    pub born_ms: Option<u64>,
+    pub started_ms: Option<u64>,
 }
 
 /// Protocol adapter for callers.
--- a/src/relay/proxy/exchange.rs
+++ b/src/relay/proxy/exchange.rs
@@ -36,7 +36,7 @@
 pub(crate) async fn serve(shared: Rc<RelayShared>, request: Request<Incoming>) -> RelayAnswer {
     let arrived = shared.now();
     shared.counts.borrow_mut().requests += 1;
-    let head = (shared.callers.parse_head)(request.headers());
+    let head = (shared.caller_protocol.parse_head)(request.headers());
     let id: Arc<str> = head.attempt.clone().unwrap_or_else(|| "-".into());
     let mut ledger = RequestLedger::new(&shared, id.clone(), arrived);
     let answer = match admit(&shared, request, head, id.clone(), arrived).await {
@@ -70,7 +70,7 @@
         }
         Err(fault) => {
             ledger.end_with_fault(&fault);
-            fault.into_answer(&shared.callers, id)
+            fault.into_answer(&shared.caller_protocol, id)
         }
     }
 }
@@ -100,18 +100,18 @@
     };
     let access = access.map_err(refusal_fault)?;
     let limits = shared.core.borrow().rules().limits();
-    let time_limit = head.patience.unwrap_or(access.route.time_limit).min(access.route.time_limit);
+    let time_limit = head.time_limit.unwrap_or(access.route.time_limit).min(access.route.time_limit);
     let deadline = arrived + time_limit;
     let body = read_body(body, limits.max_body, time_limit).await.map_err(body_fault)?;
     // Reading the body may take long, so the configuration must still be current after it.
     if !shared.core.borrow().may_serve(&access.route, shared.now()) {
-        return Err(refusal_fault(Refusal::NotFresh));
+        return Err(refusal_fault(Refusal::ConfigUnproven));
     }
     if head.attempt.is_none() {
         let message = "the request names no attempt";
         return Err(RelayFault::invalid(StatusCode::BAD_REQUEST, "no_attempt", message));
     }
-    let domains = shared.core.borrow().home_domains(&access);
+    let domains = shared.core.borrow().allowed_domains(&access);
     let Access { route, account } = access;
     let account = account.map(|account| account.name.clone());
     let Some(service) = RelayCore::pick_service(&route, xxhash_rust::xxh3::xxh3_64(id.as_bytes()))
@@ -139,7 +139,7 @@
     if let Some(time_left) = job.quarantine_time_left(shared) {
         return Err(quarantine_fault(time_left));
     }
-    shared.core.borrow_mut().note_request(&job.service, shared.now());
+    shared.core.borrow_mut().record_request(&job.service, shared.now());
     Ok(job)
 }
 
@@ -153,9 +153,9 @@
     rules.service(service)?.engine.as_ref()?;
     let max_tokens = head.most_answer_tokens.unwrap_or(DEFAULT_ANSWER_TOKENS);
     Some(PromptNeed {
-        prompt: head.prompt_tokens.unwrap_or(0),
-        answer: head.guessed_answer_tokens.unwrap_or(max_tokens).min(max_tokens),
-        first_limit: route.objective,
+        prompt_tokens: head.prompt_tokens.unwrap_or(0),
+        answer_tokens: head.guessed_answer_tokens.unwrap_or(max_tokens).min(max_tokens),
+        first_event_limit: route.objective,
         waited: Duration::ZERO,
         time_left: route.time_limit,
         longest_pause: route.longest_pause,
@@ -166,14 +166,14 @@
 #[cold]
 fn refusal_fault(refusal: Refusal) -> RelayFault {
     match refusal {
-        Refusal::NotFresh => {
+        Refusal::ConfigUnproven => {
             let message = "the configuration can not be proven current here";
             RelayFault::refused("not_ready", message, OTHER_ENTRY_RETRY_DELAY)
         }
         Refusal::NoRoute => {
             RelayFault::invalid(StatusCode::NOT_FOUND, "no_route", "no route takes this path")
         }
-        Refusal::BadKey => {
+        Refusal::UnknownKey => {
             RelayFault::invalid(StatusCode::UNAUTHORIZED, "bad_key", "the key is not known")
         }
     }
--- a/src/relay/proxy/forward.rs
+++ b/src/relay/proxy/forward.rs
@@ -87,9 +87,9 @@
         if shared.core.borrow().quarantine().is_empty() {
             return None;
         }
-        shared.tell_suspects();
+        shared.report_suspects();
         let core = shared.core.borrow();
-        core.quarantine().holds().held_for(&self.digest(), shared.now())
+        core.quarantine().quarantined().quarantine_left(&self.digest(), shared.now())
     }
 
     /// Returns the targets that may run the request.
@@ -105,7 +105,7 @@
     /// Reports to the quarantine that a target has answered this request.
     pub(crate) fn report_answered(&self, shared: &RelayShared) {
         if !shared.core.borrow().quarantine().is_empty() {
-            shared.core.borrow_mut().note_answered(self.digest());
+            shared.core.borrow_mut().record_answered(self.digest());
         }
     }
 
@@ -198,14 +198,14 @@
     pub(crate) fn suspect_address(&self, shared: &RelayShared, target: &str) -> Option<SocketAddr> {
         let is_host_fault = matches!(
             self.fault,
-            TargetFault::Unreachable | TargetFault::Broken | TargetFault::Silent
+            TargetFault::Unreachable | TargetFault::Broken | TargetFault::TimedOut
         );
         let is_suspect = is_host_fault && !self.is_stale && !self.is_timeout;
         is_suspect.then(|| shared.address_of(target)).flatten()
     }
 
     pub(crate) fn timeout(verdict: Verdict) -> Self {
-        let fault = AttemptFault::new(TargetFault::Silent, verdict, "time is up");
+        let fault = AttemptFault::new(TargetFault::TimedOut, verdict, "time is up");
         AttemptFault { is_timeout: true, ..fault }
     }
 
@@ -214,11 +214,11 @@
     }
 
     pub(crate) fn garbled(reason: impl Into<String>) -> Self {
-        AttemptFault::new(TargetFault::Garbled, Verdict::MayHaveRun, reason)
+        AttemptFault::new(TargetFault::Malformed, Verdict::MayHaveRun, reason)
     }
 
     pub(crate) fn silent(reason: impl Into<String>) -> Self {
-        AttemptFault::new(TargetFault::Silent, Verdict::MayHaveRun, reason)
+        AttemptFault::new(TargetFault::TimedOut, Verdict::MayHaveRun, reason)
     }
 }
 
@@ -236,7 +236,7 @@
     /// Returns the connection to the pool after the complete answer was read.
     pub(crate) fn return_connection(&mut self, answer: &AnswerHead) {
         let Some(connection) = self.connection.take() else { return };
-        if !answer.is_last {
+        if !answer.closes_connection {
             let now = self.shared.now();
             let mut pool = self.shared.pool.borrow_mut();
             pool.put(&self.share.target, connection, answer.keep_alive, now);
@@ -246,8 +246,8 @@
 
 impl Drop for AttemptGuard {
     fn drop(&mut self) {
-        self.shared.core.borrow_mut().end(&self.share);
-        self.shared.send_notes();
+        self.shared.core.borrow_mut().end_attempt(&self.share);
+        self.shared.send_messages();
     }
 }
 
@@ -273,17 +273,17 @@
     let share = {
         let mut core = shared.core.borrow_mut();
         let now = shared.now();
-        let mut share = core.begin(placement, job.need_at(now).as_ref(), now);
+        let mut share = core.begin_attempt(placement, job.need_at(now).as_ref(), now);
         if job.is_suspect(&core) {
             core.mark_suspect(&mut share);
         }
         share
     };
-    shared.send_notes();
+    shared.send_messages();
     shared.counts.borrow_mut().attempts += 1;
     let mut guard = AttemptGuard { shared: shared.clone(), share, connection: None, memory: None };
     let mut helpers = to_helpers(shared, placement)?;
-    if !placement.seats.is_empty() {
+    if !placement.reservations.is_empty() {
         let hold = MemoryHold::reserve(shared, placement, &mut helpers).await;
         guard.memory = Some(hold.map_err(AttemptFault::not_sent)?);
     }
@@ -310,9 +310,9 @@
         };
         AttemptFault { is_stale: is_reused, ..fault }
     })?;
-    shared.core.borrow_mut().note_heard(&placement.target, shared.now());
+    shared.core.borrow_mut().record_received(&placement.target, shared.now());
     let (parts, body) = response.into_parts();
-    let head = (shared.targets.parse_answer)(parts.status, &parts.headers);
+    let head = (shared.target_protocol.parse_answer)(parts.status, &parts.headers);
     // If another instance uses the address, the notice is about that instance.
     if !head.is_replaced {
         // A missing field in the notice counts only in a successful, signed answer to this request:
@@ -321,14 +321,14 @@
         let is_authentic = parts.status.is_success()
             && head.is_signed
             && head.attempt.as_deref() == job.head.attempt.as_deref();
-        shared.take_notice(
-            guard.share.life.as_ref(),
+        shared.apply_notice(
+            guard.share.instance.as_ref(),
             &head.notice,
             is_authentic.then_some(sent_at),
         );
     }
     check_head(job, &parts, &head).map_err(|fault| {
-        let is_stale = is_reused && fault.fault == TargetFault::Garbled;
+        let is_stale = is_reused && fault.fault == TargetFault::Malformed;
         AttemptFault { is_stale, ..fault }
     })?;
     Ok(OpenAnswer { guard, parts, body, head })
@@ -383,7 +383,7 @@
         resume_after,
         helpers,
     };
-    (shared.targets.set_head)(&mut headers, &head);
+    (shared.target_protocol.set_head)(&mut headers, &head);
     let mut request = Request::new(Full::new(job.body.clone()));
     *request.method_mut() = job.method.clone();
     *request.uri_mut() = job.uri.clone();
@@ -402,7 +402,7 @@
 ) -> AttemptFault {
     let sent_at = shared.now();
     let hedge_at = sent_at + job.route.objective.mul_f64(HEDGE_FRACTION);
-    let predicted = placement.first.mul_f64(PREDICTION_FACTOR);
+    let predicted = placement.first_event.mul_f64(PREDICTION_FACTOR);
     // Prefilling a long prompt again is expensive, and its caller waits longer.
     let silence = MIN_SILENCE_TIMEOUT.max(job.route.objective);
     loop {
@@ -420,7 +420,7 @@
         let is_due = now.since(sent_at) >= predicted + silence;
         let is_silent = || shared.silence_of(&placement.target) >= silence;
         // The engine may prefill later prompts first, which is no fault of the target.
-        let is_queued = || !shared.core.borrow_mut().time_to_read(share, now).is_zero();
+        let is_queued = || !shared.core.borrow_mut().time_to_prefill(share, now).is_zero();
         if job.need.is_some() && is_due && is_silent() && !is_queued() {
             return AttemptFault::silent("the target has sent nothing for too long");
         }
@@ -435,12 +435,12 @@
     }
     if head.is_not_run {
         let fault = if head.is_replaced { TargetFault::Replaced } else { TargetFault::Full };
-        let reason = match head.blamed {
+        let reason = match head.failed_address {
             Some(address) => format!("refused with {} for {address}", parts.status.as_u16()),
             None => format!("the target refused with {}", parts.status.as_u16()),
         };
         let fault = AttemptFault::new(fault, Verdict::NotRun, reason);
-        return Err(AttemptFault { failed_address: head.blamed, ..fault });
+        return Err(AttemptFault { failed_address: head.failed_address, ..fault });
     }
     if head.is_encoded {
         return Err(AttemptFault::garbled("answer in a content encoding"));
--- a/src/relay/proxy/ledger.rs
+++ b/src/relay/proxy/ledger.rs
@@ -57,18 +57,18 @@
         self.is_ended = true;
         let shared = &self.shared;
         let now = shared.now();
-        shared.counts.borrow_mut().note_end(end);
+        shared.counts.borrow_mut().record_end(end);
         let core = shared.core.borrow();
         let line = RequestLine {
             id: &self.id,
-            end,
+            outcome: end,
             status: status.as_u16(),
-            why: message,
+            reason: message,
             targets: &self.targets.join(","),
             sends: self.sends,
             digest: self.digest,
-            series_end: self.series_end,
-            took: now.since(self.arrived),
+            retry_stop: self.series_end,
+            elapsed: now.since(self.arrived),
             pace: self.pace,
             version: core.rules().version(),
             proof_age: core.lease().age(now),
@@ -77,7 +77,7 @@
     }
 
     pub(crate) fn end_with_fault(&mut self, fault: &RelayFault) {
-        self.shared.counts.borrow().note_fault(fault.code);
+        self.shared.counts.borrow().record_fault(fault.code);
         let is_refused = fault.verdict == Verdict::NotRun;
         let end = if is_refused { RequestEnd::Refused } else { RequestEnd::Failed };
         self.end(end, fault.status, &fault.message);
