--- a/src/relay/proxy/memory_hold.rs
+++ b/src/relay/proxy/memory_hold.rs
@@ -63,19 +63,19 @@
     ) -> std::result::Result<Self, String> {
         let mut hold =
             MemoryHold { shared: shared.clone(), reservations: Vec::new(), renewal_task: None };
-        let mut wanted: Vec<_> = helpers.iter_mut().zip(&placement.seats).collect();
+        let mut wanted: Vec<_> = helpers.iter_mut().zip(&placement.reservations).collect();
         wanted.sort_by_key(|(helper, _)| helper.address);
         for (helper, memory) in wanted {
-            let id = format!("{:016x}{:08x}", shared.core.borrow().entry(), shared.next_order());
+            let id = format!("{:016x}{:08x}", shared.core.borrow().entry(), shared.next_reservation_number());
             // A waiting reservation blocks other requests at the engine, and may succeed too late.
             let may_wait = false;
             let tokens = memory.tokens;
             let reservation =
-                Reservation { id: id.into(), tokens, hold: RESERVATION_TTL, may_wait };
+                Reservation { id: id.into(), tokens, ttl: RESERVATION_TTL, may_wait };
             helper.reservation = Some(reservation.id.clone());
             // Recorded before the call: a call without an answer may have taken effect and must be
             // released.
-            let instance = shared.core.borrow().life_of(&memory.target);
+            let instance = shared.core.borrow().instance_of(&memory.target);
             let reserved = HeldReservation { address: helper.address, instance, reservation };
             hold.reservations.push(reserved.clone());
             match send_reserve(shared, &reserved).await {
@@ -119,7 +119,7 @@
 
 async fn release(shared: Rc<RelayShared>, reserved: HeldReservation) {
     for _ in 0..MAX_RELEASE_ATTEMPTS {
-        let call = (shared.targets.to_release)(&reserved.reservation.id);
+        let call = (shared.target_protocol.to_release)(&reserved.reservation.id);
         match send_call(&shared, &reserved, call).await {
             Ok(_) => return,
             Err(error) => slog::warn!(shared.log.logger(), "reservation not released";
@@ -130,8 +130,8 @@
 }
 
 async fn send_reserve(shared: &RelayShared, reserved: &HeldReservation) -> Result<ReserveReply> {
-    let call = (shared.targets.to_reserve)(&reserved.reservation);
-    send_call(shared, reserved, call).await.map(shared.targets.parse_reserve)
+    let call = (shared.target_protocol.to_reserve)(&reserved.reservation);
+    send_call(shared, reserved, call).await.map(shared.target_protocol.parse_reserve)
 }
 
 async fn send_call(
@@ -144,11 +144,11 @@
     let uri = format!("http://{}{}", reserved.address, call.path);
     *request.uri_mut() = uri.parse().unwrap_or_default();
     request.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-    let response = shared.orders.call(request, CALL_TIMEOUT).await?;
+    let response = shared.http_client.call(request, CALL_TIMEOUT).await?;
     report_spent(shared, reserved);
-    let head = (shared.targets.parse_answer)(response.status(), response.headers());
+    let head = (shared.target_protocol.parse_answer)(response.status(), response.headers());
     if !head.is_replaced {
-        shared.take_notice(reserved.instance.as_ref(), &head.notice, None);
+        shared.apply_notice(reserved.instance.as_ref(), &head.notice, None);
     }
     Ok(response.status())
 }
@@ -160,6 +160,6 @@
     let Some(instance) = &reserved.instance else { return };
     let has_rate_limit = |target: &TargetState| target.rate.is_some();
     if shared.core.borrow().targets.get(&instance.incarnation).is_some_and(has_rate_limit) {
-        shared.link.send_beside(reserved.address, &LoadNote::Spent(instance.clone()));
+        shared.link.send_beside(reserved.address, &LoadNote::SentWithoutPermit(instance.clone()));
     }
 }
--- a/src/relay/proxy/permit.rs
+++ b/src/relay/proxy/permit.rs
@@ -31,18 +31,18 @@
     let max_permit_wait = series.max_permit_wait(job, now);
     let query = shared.core.borrow().permit_query(placement, max_permit_wait, now);
     let Some(query) = query else { return true };
-    let message = |nonce| LoadNote::AskPermit { nonce, ask: query.ask.clone() };
-    let reply = match query.beside {
+    let message = |nonce| LoadNote::RequestPermit { nonce, ask: query.request.clone() };
+    let reply = match query.agent_host {
         Some(address) => call_agent(shared, address, message).await,
         None => None,
     };
-    shared.counts.borrow().note_permit(reply);
-    let verdict = shared.core.borrow_mut().take_permit(&query, reply, shared.now());
+    shared.counts.borrow().record_permit(reply);
+    let verdict = shared.core.borrow_mut().apply_permit(&query, reply, shared.now());
     match verdict {
-        PermitVerdict::Elsewhere => false,
-        PermitVerdict::Turn { from, until } => {
+        PermitVerdict::PlaceAgain => false,
+        PermitVerdict::SendWithin { from, until } => {
             tokio::time::sleep(from.since(shared.now())).await;
-            placement.turn_until = Some(until);
+            placement.send_before = Some(until);
             true
         }
     }
@@ -54,18 +54,18 @@
     if shared.core.borrow_mut().take_retry(service, shared.now()) {
         return true;
     }
-    let Some(queries) = shared.core.borrow_mut().slack_queries(service, shared.now()) else {
+    let Some(queries) = shared.core.borrow_mut().retry_grant_queries(service, shared.now()) else {
         return false;
     };
     let mut reply = None;
     for query in queries {
-        let message = |nonce| LoadNote::AskSlack { nonce, ask: query.ask.clone() };
-        reply = call_agent(shared, query.beside, message).await;
+        let message = |nonce| LoadNote::RequestRetryGrant { nonce, ask: query.request.clone() };
+        reply = call_agent(shared, query.agent_host, message).await;
         if reply.is_some() {
             break;
         }
     }
-    shared.core.borrow_mut().take_slack(service, reply, shared.now())
+    shared.core.borrow_mut().apply_retry_grant(service, reply, shared.now())
 }
 
 /// A request to an agent that awaits its reply. Dropping it unregisters it, also if the caller
@@ -77,7 +77,7 @@
 
 impl Drop for PendingRequest<'_> {
     fn drop(&mut self) {
-        self.shared.permit_asks.borrow_mut().remove(&self.nonce);
+        self.shared.pending_permits.borrow_mut().remove(&self.nonce);
     }
 }
 
@@ -89,7 +89,7 @@
 ) -> Option<PermitReply> {
     let pending = PendingRequest { shared, nonce: rand::random() };
     let (reply_sender, reply_receiver) = oneshot::channel();
-    shared.permit_asks.borrow_mut().insert(pending.nonce, reply_sender);
+    shared.pending_permits.borrow_mut().insert(pending.nonce, reply_sender);
     shared.link.send_beside(address, &to_message(pending.nonce));
     let reply = tokio::time::timeout(REPLY_TIMEOUT, reply_receiver).await;
     reply.ok()?.ok()
--- a/src/relay/proxy/series.rs
+++ b/src/relay/proxy/series.rs
@@ -46,15 +46,15 @@
 fn record_health(shared: &RelayShared, target: &Arc<str>, fault: &AttemptFault, now: Tick) -> bool {
     let mut core = shared.core.borrow_mut();
     let is_helper_fault =
-        fault.failed_address.is_some_and(|address| core.note_helper_failure(target, address, now));
+        fault.failed_address.is_some_and(|address| core.record_helper_failure(target, address, now));
     drop(core);
     if let Some(suspect) = fault.failed_address.or_else(|| fault.suspect_address(shared, target)) {
-        shared.link.suspect(suspect);
+        shared.link.report_suspicion(suspect);
     }
     let is_target_fault = !fault.is_stale && !is_helper_fault;
     if !fault.is_timeout
         && is_target_fault
-        && let Some(ejection) = shared.core.borrow_mut().note_failure(target, fault.fault, now)
+        && let Some(ejection) = shared.core.borrow_mut().record_failure(target, fault.fault, now)
     {
         shared.log.ejected(target, ejection);
         shared.counts.borrow_mut().ejections += 1;
@@ -129,19 +129,19 @@
             let mut core = shared.core.borrow_mut();
             let placement = self.place_now(&mut core, job, now);
             let placement = placement.or_else(|| self.place_waiting(&mut core, job, now))?;
-            self.placed_on = core.life_of(&placement.target);
+            self.placed_on = core.instance_of(&placement.target);
             placement
         };
         let line = PlacedLine {
             id: &job.id,
             target: &placement.target,
             helpers: &placement.helpers,
-            prompt: job.need.map_or(0, |need| need.prompt),
-            first: placement.first,
+            prompt_tokens: job.need.map_or(0, |need| need.prompt_tokens),
+            predicted_first: placement.first_event,
             cost: placement.cost,
-            harm: placement.harm,
-            own: placement.own,
-            claim: placement.claim,
+            delay_cost: placement.delay_cost,
+            own_loss: placement.own_loss,
+            opportunity_cost: placement.opportunity_cost,
             candidates: placement.candidates,
         };
         shared.log.placed(&line, now);
@@ -153,7 +153,7 @@
         if self.ran_on.len() >= job.route.max_targets {
             // An instance that has crashed since has no state of the request, whatever now runs at
             // its address.
-            let alive = self.ran_on.iter().filter(|instance| core.may_live(instance));
+            let alive = self.ran_on.iter().filter(|instance| core.may_be_running(instance));
             let alive: Vec<_> = alive.map(|instance| instance.incarnation.clone()).collect();
             return core.place(job.scope(), need.as_ref(), TargetScope::Only(&alive), now);
         }
@@ -178,7 +178,7 @@
         job: &RelayJob,
         now: Tick,
     ) -> Option<Placement> {
-        let wait = core.time_to_turn(job.scope(), now)?;
+        let wait = core.time_to_permit(job.scope(), now)?;
         let is_limited = self.ran_on.len() >= job.route.max_targets;
         if is_limited
             || self.waits_for_permit
@@ -189,7 +189,7 @@
         }
         self.waits_for_permit = true;
         let scope = TargetScope::Untried(&self.tried);
-        core.place_for_turn(job.scope(), job.need_at(now).as_ref(), scope, now)
+        core.place_with_permit(job.scope(), job.need_at(now).as_ref(), scope, now)
     }
 
     /// Returns the longest time that the request would wait for a permit: zero while targets
@@ -230,7 +230,7 @@
             id: &job.id,
             digest: job.digest(),
             target,
-            why: &fault.reason,
+            reason: &fault.reason,
             verdict: fault.verdict,
         };
         shared.log.attempt_failed(&line, now);
@@ -243,7 +243,7 @@
         self.worst_verdict = self.worst_verdict.join(fault.verdict);
         self.reason = fault.reason;
         self.answer = fault.answer.or(self.answer.take());
-        self.sends.note(end);
+        self.sends.record(end);
         self.was_refused = matches!(end, SendEnd::NotSent | SendEnd::Refused);
         if let Some(instance) = self.placed_on.take()
             && end == SendEnd::MayHaveRun
@@ -252,10 +252,10 @@
             self.ran_on.push(instance);
         }
         if fault.is_timeout || now >= job.deadline {
-            return Err(SeriesEnd::TimeUp);
+            return Err(SeriesEnd::TimeLimit);
         }
         if !fault.verdict.may_retry(job.route.repeat.is_repeatable()) {
-            return Err(SeriesEnd::RunsOnce);
+            return Err(SeriesEnd::NotRepeatable);
         }
         self.acquire_send(shared, job, fault.is_sent).await
     }
@@ -272,8 +272,8 @@
         // run.
         let extra_runs = if self.answer.is_none() { policy.repeated_runs } else { 0 };
         let allowed_runs = job.route.max_targets + extra_runs;
-        if !self.sends.permits(allowed_runs) {
-            return Err(SeriesEnd::MostSends);
+        if !self.sends.allows(allowed_runs) {
+            return Err(SeriesEnd::MaxSends);
         }
         if is_sent && !acquire_retry(shared, &job.service).await {
             return Err(SeriesEnd::NoBudget);
@@ -291,13 +291,13 @@
     ) {
         let Some(instance) = &self.placed_on else { return };
         if fault.is_disconnect() {
-            shared.core.borrow_mut().note_broken(job.digest(), instance, fault.streamed_for, now);
+            shared.core.borrow_mut().record_broken(job.digest(), instance, fault.streamed_for, now);
             check_crash(shared, instance);
         }
         if fault.fault == TargetFault::Unreachable {
-            shared.core.borrow_mut().note_unreachable(instance, now);
+            shared.core.borrow_mut().record_unreachable(instance, now);
         }
-        shared.tell_suspects();
+        shared.report_suspects();
     }
 
     /// Builds the final failure of the request.
--- a/src/relay/proxy/stream.rs
+++ b/src/relay/proxy/stream.rs
@@ -104,9 +104,9 @@
         Ok(StreamStart::Buffered(answer)) => {
             answer.map(|body| RelayBody::Buffered(Full::new(body)))
         }
-        Ok(StreamStart::Fault(fault)) => fault.into_answer(&shared.callers, &id),
+        Ok(StreamStart::Fault(fault)) => fault.into_answer(&shared.caller_protocol, &id),
         Err(_) => RelayFault::failed(StatusCode::BAD_GATEWAY, "stream_lost", "the stream was lost")
-            .into_answer(&shared.callers, &id),
+            .into_answer(&shared.caller_protocol, &id),
     }
 }
 
@@ -123,7 +123,7 @@
     let mut is_admitted = false;
     loop {
         if let Some(fault) = series.check_quarantine(shared, job) {
-            ledger.series_end = Some(SeriesEnd::HeldBack);
+            ledger.series_end = Some(SeriesEnd::Quarantined);
             return fail_stream(progress.output, &series, fault, ledger).await;
         }
         let Some(mut placement) = series.place(shared, job) else {
@@ -234,16 +234,16 @@
 ) -> Result<StatusCode, AttemptFault> {
     let OpenAnswer { mut guard, mut parts, mut body, head } = answer;
     let (status, target) = (parts.status, guard.share.target.clone());
-    (shared.targets.clear_answer)(&mut parts.headers);
+    (shared.target_protocol.clear_answer)(&mut parts.headers);
     parts.headers.remove(CONTENT_LENGTH);
     let mut start = Some(Response::from_parts(parts, ()));
     // The first event arrives when prefill is finished, each later one at the end of a forward
     // pass.
     while let Some(frame) = next_frame(shared, job, &guard.share, &mut body, may_hedge).await? {
         if progress.first_event_at.is_some() {
-            shared.core.borrow_mut().note_pass(&target, shared.now());
+            shared.core.borrow_mut().record_pass(&target, shared.now());
         } else {
-            shared.core.borrow_mut().note_first(&guard.share, shared.now());
+            shared.core.borrow_mut().record_first_event(&guard.share, shared.now());
         }
         progress.first_event_at.get_or_insert(shared.now());
         let events = progress.splitter.push(&frame);
@@ -254,11 +254,11 @@
         {
             progress.output.send_start(StreamStart::Head(start));
         }
-        if pace.first.is_none() {
-            let prompt = job.need.map_or(0, |need| need.prompt);
-            shared.counts.borrow().note_first(prompt, shared.now().since(job.arrived));
+        if pace.time_to_first.is_none() {
+            let prompt = job.need.map_or(0, |need| need.prompt_tokens);
+            shared.counts.borrow().record_first_event(prompt, shared.now().since(job.arrived));
         }
-        pace.note(job.arrived, shared.now());
+        pace.record(job.arrived, shared.now());
         if progress.output.chunks.send(Ok(events)).await.is_err() {
             return Err(AttemptFault::broken("the caller left"));
         }
@@ -268,7 +268,7 @@
     }
     guard.return_connection(&head);
     job.report_answered(shared);
-    shared.core.borrow_mut().note_success(&target);
+    shared.core.borrow_mut().record_success(&target);
     Ok(status)
 }
 
@@ -284,7 +284,7 @@
     let complete_body = read_body(body, MAX_ANSWER_BYTES, time_left).await;
     let complete_body = complete_body.map_err(|_| AttemptFault::broken("the failure broke off"))?;
     job.report_answered(shared);
-    (shared.targets.clear_answer)(&mut parts.headers);
+    (shared.target_protocol.clear_answer)(&mut parts.headers);
     parts.headers.remove(CONTENT_LENGTH);
     let status = parts.status;
     let answer = Response::from_parts(parts, complete_body);
@@ -312,7 +312,7 @@
     let silence = (job.route.longest_pause * SILENCE_PAUSES).max(MIN_SILENCE);
     let mut silence_deadline = if may_hedge { shared.now() + silence } else { Tick::NEVER };
     loop {
-        let Some(frame) = shared.until(silence_deadline.min(job.deadline), body.frame()).await
+        let Some(frame) = shared.run_until(silence_deadline.min(job.deadline), body.frame()).await
         else {
             let now = shared.now();
             if now >= job.deadline {
@@ -329,7 +329,7 @@
         };
         let Some(frame) = frame else { return Ok(None) };
         let frame = frame.map_err(|error| AttemptFault::broken(error.to_string()))?;
-        shared.core.borrow_mut().note_heard(&share.target, shared.now());
+        shared.core.borrow_mut().record_received(&share.target, shared.now());
         if let Ok(data) = frame.into_data() {
             return Ok(Some(data));
         }
--- a/src/relay/record.rs
+++ b/src/relay/record.rs
@@ -98,13 +98,13 @@
 pub enum SeriesEnd {
     /// The request may have run, and is not repeatable.
     #[display("may run once only")]
-    RunsOnce,
+    NotRepeatable,
     /// The time limit of the request was reached.
     #[display("time is up")]
-    TimeUp,
+    TimeLimit,
     /// The request was sent as often as its route allows.
     #[display("sent as often as allowed")]
-    MostSends,
+    MaxSends,
     /// The retry budget was spent.
     #[display("retry budget spent")]
     NoBudget,
@@ -113,14 +113,14 @@
     NoTarget,
     /// The request is quarantined.
     #[display("held back")]
-    HeldBack,
+    Quarantined,
 }
 
 /// Timing of the events of a stream.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StreamPace {
     /// Time from the arrival of the request to the first event.
-    pub first: Option<Duration>,
+    pub time_to_first: Option<Duration>,
     /// Longest pause between two events.
     pub longest_pause: Duration,
     last_at: Option<Tick>,
@@ -128,8 +128,8 @@
 
 impl StreamPace {
     /// Records events that were passed on to the caller.
-    pub fn note(&mut self, arrived: Tick, now: Tick) {
-        self.first.get_or_insert(now.since(arrived));
+    pub fn record(&mut self, arrived: Tick, now: Tick) {
+        self.time_to_first.get_or_insert(now.since(arrived));
         if let Some(last_at) = self.last_at {
             self.longest_pause = self.longest_pause.max(now.since(last_at));
         }
@@ -143,11 +143,11 @@
     /// Identifier that the caller gave to this send of the request.
     pub id: &'a str,
     /// Outcome of the request.
-    pub end: RequestEnd,
+    pub outcome: RequestEnd,
     /// HTTP status of the answer.
     pub status: u16,
     /// Short reason for the outcome.
-    pub why: &'a str,
+    pub reason: &'a str,
     /// Names of the targets that the request was sent to, each once.
     pub targets: &'a str,
     /// Number of times that the request was sent, failed sends included.
@@ -155,9 +155,9 @@
     /// Digest of the request, `Some` if an attempt of it failed.
     pub digest: Option<RequestDigest>,
     /// Reason for which the request was not retried after a failure.
-    pub series_end: Option<SeriesEnd>,
+    pub retry_stop: Option<SeriesEnd>,
     /// Time since the arrival of the request.
-    pub took: Duration,
+    pub elapsed: Duration,
     /// Time to the first event of a stream, and its longest pause.
     pub pace: StreamPace,
     /// Version of the configuration.
@@ -176,7 +176,7 @@
     /// Name of the target.
     pub target: &'a str,
     /// Short reason for the failure.
-    pub why: &'a str,
+    pub reason: &'a str,
     /// Whether the request may have run.
     pub verdict: Verdict,
 }
@@ -191,17 +191,17 @@
     /// Names of the targets that prefill shards of the prompt.
     pub helpers: &'a [Arc<str>],
     /// Length of the prompt, in tokens.
-    pub prompt: u64,
+    pub prompt_tokens: u64,
     /// Predicted time to the first event.
-    pub first: Duration,
+    pub predicted_first: Duration,
     /// Predicted cost, in units of one short request.
     pub cost: f32,
     /// Delay cost: what other requests lose by this placement.
-    pub harm: f32,
+    pub delay_cost: f32,
     /// Own loss: what the request itself loses by a late answer.
-    pub own: f32,
+    pub own_loss: f32,
     /// Opportunity cost: what later requests lose by the slots and the engine time that it takes.
-    pub claim: f32,
+    pub opportunity_cost: f32,
     /// Number of targets that were considered.
     pub candidates: usize,
 }
@@ -260,7 +260,7 @@
 
     /// Logs the outcome of a request.
     pub fn request_ended(&self, line: &RequestLine<'_>, now: Tick) {
-        let kind = match line.end {
+        let kind = match line.outcome {
             RequestEnd::Answered => "answered",
             RequestEnd::Refused => "refused",
             RequestEnd::Failed | RequestEnd::Broken => "failed",
@@ -268,11 +268,11 @@
         };
         let Some(left_out) = self.take_from_budget(kind, now) else { return };
         info!(self.logger, "request";
-            "id" => line.id, "end" => %line.end, "status" => line.status, "why" => line.why,
+            "id" => line.id, "end" => %line.outcome, "status" => line.status, "why" => line.reason,
             "targets" => line.targets, "sends" => line.sends,
             "digest" => line.digest.map(|digest| digest.to_string()),
-            "not_sent_again" => line.series_end.map(|end| end.to_string()), "took_ms" => line.took.as_millis() as u64,
-            "first_ms" => line.pace.first.map(|duration| duration.as_millis() as u64),
+            "not_sent_again" => line.retry_stop.map(|end| end.to_string()), "took_ms" => line.elapsed.as_millis() as u64,
+            "first_ms" => line.pace.time_to_first.map(|duration| duration.as_millis() as u64),
             "longest_pause_ms" => line.pace.longest_pause.as_millis() as u64,
             "config_version" => line.version,
             "proof_age_ms" => line.proof_age.map(|age| age.as_millis() as u64),
@@ -284,8 +284,8 @@
         let Some(left_out) = self.take_from_budget("placed", now) else { return };
         info!(self.logger, "placed";
             "id" => line.id, "target" => line.target, "helpers" => line.helpers.len(), "helped_by" => line.helpers.join(","),
-            "prompt_tokens" => line.prompt, "first_ms" => line.first.as_millis() as u64,
-            "cost" => line.cost, "harm" => line.harm, "own" => line.own, "claim" => line.claim,
+            "prompt_tokens" => line.prompt_tokens, "first_ms" => line.predicted_first.as_millis() as u64,
+            "cost" => line.cost, "harm" => line.delay_cost, "own" => line.own_loss, "claim" => line.opportunity_cost,
             "candidates" => line.candidates,
             "left_out" => left_out);
     }
@@ -295,19 +295,19 @@
         let Some(left_out) = self.take_from_budget("attempt_failed", now) else { return };
         warn!(self.logger, "attempt failed";
             "id" => line.id, "digest" => %line.digest, "target" => line.target,
-            "why" => line.why, "verdict" => %line.verdict, "left_out" => left_out);
+            "why" => line.reason, "verdict" => %line.verdict, "left_out" => left_out);
     }
 
     /// Logs what an answer says of its target.
-    pub fn target_noted(&self, target: &str, notice: &TargetNotice, now: Tick) {
+    pub fn notice_received(&self, target: &str, notice: &TargetNotice, now: Tick) {
         let Some(left_out) = self.take_from_budget("noted", now) else { return };
         info!(self.logger, "target notice";
             "target" => target, "is_leaving" => notice.is_leaving,
             "backoff_ms" => notice.backoff.map(|duration| duration.as_millis() as u64),
             "rate" => match notice.rate {
-                RateWord::Silent => None,
+                RateWord::Absent => None,
                 RateWord::Unreadable => Some("unreadable".to_owned()),
-                RateWord::Named(rate) => Some(rate.per_second().to_string()),
+                RateWord::Limit(rate) => Some(rate.per_second().to_string()),
             },
             "left_out" => left_out);
     }
@@ -362,12 +362,12 @@
         for entry in entries {
             let Some(left_out) = self.take_from_budget("unreadable", now) else { continue };
             warn!(self.logger, "entry lists no target";
-                "name" => entry.name.as_deref(), "why" => &entry.why, "left_out" => left_out);
+                "name" => entry.name.as_deref(), "why" => &entry.reason, "left_out" => left_out);
         }
     }
 
     /// Logs quarantine records, stored beside the configuration, that cannot be read.
-    pub fn notes_unreadable(&self, reasons: &[String], now: Tick) {
+    pub fn quarantine_unreadable(&self, reasons: &[String], now: Tick) {
         for reason in reasons {
             let Some(left_out) = self.take_from_budget("note_unreadable", now) else { continue };
             warn!(self.logger, "note beside the configuration not read";
@@ -382,7 +382,7 @@
     }
 
     /// Logs that a request is quarantined from now on.
-    pub fn held_back(&self, digest: RequestDigest, duration: Duration) {
+    pub fn quarantined(&self, digest: RequestDigest, duration: Duration) {
         warn!(self.logger, "request held back";
             "digest" => %digest, "for_s" => duration.as_secs());
     }
@@ -409,7 +409,7 @@
     }
 
     /// Logs that a dependency was lost or is available again.
-    pub fn dependency(&self, name: &str, is_available: bool, reason: &str) {
+    pub fn dependency_changed(&self, name: &str, is_available: bool, reason: &str) {
         if is_available {
             info!(self.logger, "dependency regained"; "name" => name);
         } else {
--- a/src/relay/server.rs
+++ b/src/relay/server.rs
@@ -51,11 +51,11 @@
 /// Protocols that the platform defines for callers, targets and its store.
 pub struct RelayAdapter {
     /// Protocol of the callers.
-    pub callers: CallerDialect,
+    pub caller_protocol: CallerDialect,
     /// Protocol of the targets.
-    pub targets: TargetDialect,
+    pub target_protocol: TargetDialect,
     /// Source of the configuration and the target list: the platform's store.
-    pub feed: PlatformFeed,
+    pub source: PlatformFeed,
 }
 
 /// Runs the relay until `stop` completes, and then until its open requests have ended.
@@ -91,32 +91,32 @@
     let shared = Rc::new(RelayShared {
         core: RefCell::new(RelayCore::new(limits, new_incarnation().0)),
         pool: RefCell::default(),
-        callers: adapter.callers,
-        targets: adapter.targets,
+        caller_protocol: adapter.caller_protocol,
+        target_protocol: adapter.target_protocol,
         log: DecisionLog::new(log),
         counts: RefCell::default(),
         is_stopping: Cell::new(false),
         is_closed_to_new: Cell::new(false),
-        away_at: Cell::new(None),
-        start: watch::Sender::new(StartPhase::Reading),
-        outages: watch::Sender::new(0),
+        store_failed_at: Cell::new(None),
+        start_phase: watch::Sender::new(StartPhase::Loading),
+        store_recoveries: watch::Sender::new(0),
         config_changed: Notify::new(),
-        config_news: RefCell::default(),
+        config_update: RefCell::default(),
         list_due: Notify::new(),
         peer_verdict: Cell::new(PeerVerdict::Useless),
-        proof_told: Notify::new(),
-        end_checks: RefCell::default(),
-        resumes: watch::Sender::new(0),
-        quarantine_due: Notify::new(),
+        proof_received: Notify::new(),
+        crash_checks: RefCell::default(),
+        resumptions: watch::Sender::new(0),
+        quarantine_write_due: Notify::new(),
         link,
-        orders: HttpClient::new(1),
-        order_number: Cell::new(0),
-        permit_asks: RefCell::default(),
+        http_client: HttpClient::new(1),
+        next_reservation: Cell::new(0),
+        pending_permits: RefCell::default(),
         clock: ProcessClock::new(),
-        open: Cell::new(0),
+        open_requests: Cell::new(0),
     });
-    shared.core.borrow_mut().set_epoch(wall_micros() / MICROS_PER_MS);
-    let feed = Rc::new(adapter.feed);
+    shared.core.borrow_mut().set_unix_origin(wall_micros() / MICROS_PER_MS);
+    let feed = Rc::new(adapter.source);
     let (close, closing) = watch::channel(false);
     tokio::task::spawn_local(follow_config(shared.clone(), feed.clone()));
     tokio::task::spawn_local(follow_quarantine(shared.clone(), feed.clone()));
@@ -164,11 +164,11 @@
 async fn drain(shared: &RelayShared, limit: Duration, close: &watch::Sender<bool>) {
     let started_at = shared.now();
     shared.is_stopping.set(true);
-    slog::info!(shared.log.logger(), "stop begun"; "open" => shared.open.get());
+    slog::info!(shared.log.logger(), "stop begun"; "open" => shared.open_requests.get());
     let plan = StopPlan::new(limit);
     loop {
         tokio::time::sleep(STOP_CHECK_INTERVAL).await;
-        match plan.phase(shared.now().since(started_at), shared.open.get()) {
+        match plan.phase(shared.now().since(started_at), shared.open_requests.get()) {
             StopPhase::Serving => {}
             StopPhase::Finishing => shared.is_closed_to_new.set(true),
             StopPhase::Ended => break,
@@ -178,7 +178,7 @@
     // No new request is served from here on, so closing the connections disturbs no caller.
     close.send_replace(true);
     tokio::time::sleep(STOP_CHECK_INTERVAL).await;
-    slog::info!(shared.log.logger(), "stop"; "open" => shared.open.get());
+    slog::info!(shared.log.logger(), "stop"; "open" => shared.open_requests.get());
     tokio::time::sleep(STOP_CHECK_INTERVAL).await;
 }
 
@@ -256,7 +256,7 @@
 
 fn answer_status(shared: &RelayShared, path: &str) -> Response<Full<Bytes>> {
     let now = shared.now();
-    let (status, body) = if path == shared.callers.readiness_path {
+    let (status, body) = if path == shared.caller_protocol.readiness_path {
         let is_ready = !shared.is_stopping.get() && shared.core.borrow().is_ready(now);
         let status = if is_ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
         (status, Vec::new())
@@ -278,13 +278,13 @@
     loop {
         tokio::time::sleep(SWEEP_INTERVAL).await;
         if let Some(duration) = suspensions.look() {
-            shared.note_resumed(duration);
+            shared.handle_resumption(duration);
         }
         let now = shared.now();
         shared.pool.borrow_mut().expire(now);
         let change = shared.core.borrow_mut().expire_targets(now);
         shared.log.targets_changed(&change);
-        shared.tell_suspects();
+        shared.report_suspects();
         shared.core.borrow_mut().choose_engines(now);
         follow_list_share(&shared, now);
         shared.core.borrow_mut().expire_rates(now);
--- a/src/relay/shared.rs
+++ b/src/relay/shared.rs
@@ -16,7 +16,7 @@
 use super::decide::targets::TargetLife;
 use super::discovery::feed::{ConfigNews, ConfigRead, EvacuationList};
 use super::discovery::proof_share::{PeerProof, PeerVerdict};
-use super::discovery::watch_pace::watch_wait;
+use super::discovery::watch_pace::watch_timeout;
 use super::peers::load_link::LoadLink;
 use super::peers::load_note::LoadNote;
 use super::proxy::connections::ConnectionPool;
@@ -34,8 +34,8 @@
 pub(crate) struct RelayShared {
     pub(crate) core: RefCell<RelayCore>,
     pub(crate) pool: RefCell<ConnectionPool>,
-    pub(crate) callers: CallerDialect,
-    pub(crate) targets: TargetDialect,
+    pub(crate) caller_protocol: CallerDialect,
+    pub(crate) target_protocol: TargetDialect,
     pub(crate) log: DecisionLog,
     pub(crate) counts: RefCell<RelayCounts>,
     /// Whether a planned stop has begun.
@@ -43,37 +43,37 @@
     /// Whether new requests are refused.
     pub(crate) is_closed_to_new: Cell<bool>,
     /// When a call to the store last failed, or the store was last restored from a backup.
-    pub(crate) away_at: Cell<Option<Tick>>,
+    pub(crate) store_failed_at: Cell<Option<Tick>>,
     /// Phase of the start of this process.
-    pub(crate) start: watch::Sender<StartPhase>,
+    pub(crate) start_phase: watch::Sender<StartPhase>,
     /// Counts the times that the store became reachable again.
-    pub(crate) outages: watch::Sender<u64>,
+    pub(crate) store_recoveries: watch::Sender<u64>,
     /// Notified by the watch of the configuration, on an update or at its end.
     pub(crate) config_changed: Notify,
     /// The newest update from that watch that has not been applied yet.
-    pub(crate) config_news: RefCell<Option<Box<ConfigNews>>>,
+    pub(crate) config_update: RefCell<Option<Box<ConfigNews>>>,
     /// Notified when the list has to be read, or when this entry starts or stops watching it.
     pub(crate) list_due: Notify,
     /// Verdict on the last proof received from another entry.
     pub(crate) peer_verdict: Cell<PeerVerdict>,
     /// Notified when another entry has answered a request for its proof.
-    pub(crate) proof_told: Notify,
+    pub(crate) proof_received: Notify,
     /// Target instances that are currently checked for a crash.
-    pub(crate) end_checks: RefCell<HashSet<TargetLife>>,
+    pub(crate) crash_checks: RefCell<HashSet<TargetLife>>,
     /// Counts the resumptions of the host after a suspension.
-    pub(crate) resumes: watch::Sender<u64>,
+    pub(crate) resumptions: watch::Sender<u64>,
     /// Notified when the store has to record that a request is quarantined.
-    pub(crate) quarantine_due: Notify,
+    pub(crate) quarantine_write_due: Notify,
     pub(crate) link: LoadLink,
     /// Client for memory reservations and for copies of other entries' configurations.
-    pub(crate) orders: HttpClient,
+    pub(crate) http_client: HttpClient,
     /// Number of the next memory reservation.
-    pub(crate) order_number: Cell<u32>,
+    pub(crate) next_reservation: Cell<u32>,
     /// Requests for permits that wait for an answer, by their nonce.
-    pub(crate) permit_asks: RefCell<HashMap<u64, oneshot::Sender<PermitReply>>>,
+    pub(crate) pending_permits: RefCell<HashMap<u64, oneshot::Sender<PermitReply>>>,
     pub(crate) clock: ProcessClock,
     /// Number of requests whose answers are not complete.
-    pub(crate) open: Cell<usize>,
+    pub(crate) open_requests: Cell<usize>,
 }
 
 impl RelayShared {
@@ -93,7 +93,7 @@
 
     /// Applies what an answer says of the target that gave it, to a request sent at `sent_at`.
     /// With `None` for `sent_at`, an answer without a rate says nothing.
-    pub(crate) fn take_notice(
+    pub(crate) fn apply_notice(
         &self,
         instance: Option<&TargetLife>,
         notice: &TargetNotice,
@@ -102,25 +102,25 @@
         let Some(instance) = instance else { return };
         let now = self.now();
         if !notice.is_empty() {
-            self.log.target_noted(&instance.incarnation, notice, now);
-            self.counts.borrow().note_notice(notice);
+            self.log.notice_received(&instance.incarnation, notice, now);
+            self.counts.borrow().record_notice(notice);
         }
         let mut core = self.core.borrow_mut();
-        core.take_notice(instance, notice, now);
-        core.take_rate(instance, notice.rate, sent_at, now);
+        core.apply_notice(instance, notice, now);
+        core.apply_rate(instance, notice.rate, sent_at, now);
     }
 
     /// Passes an agent's answer to the waiting request, unless that no longer waits.
-    pub(crate) fn take_permit_reply(&self, nonce: u64, reply: PermitReply) {
-        if let Some(waiter) = self.permit_asks.borrow_mut().remove(&nonce) {
+    pub(crate) fn deliver_permit_reply(&self, nonce: u64, reply: PermitReply) {
+        if let Some(waiter) = self.pending_permits.borrow_mut().remove(&nonce) {
             let _ = waiter.send(reply);
         }
     }
 
     /// Runs `work` until a tick, `None` if the tick comes first. Timers stand still while the host
     /// is suspended, so the clock is read again when the host resumes.
-    pub(crate) async fn until<T>(&self, tick: Tick, work: impl Future<Output = T>) -> Option<T> {
-        let mut resumes = self.resumes.subscribe();
+    pub(crate) async fn run_until<T>(&self, tick: Tick, work: impl Future<Output = T>) -> Option<T> {
+        let mut resumes = self.resumptions.subscribe();
         tokio::pin!(work);
         loop {
             let left = tick.since(self.now());
@@ -134,31 +134,31 @@
 
     /// Handles a resumption of the host after a suspension. Connections to the store may hang, and
     /// proofs may have lapsed.
-    pub(crate) fn note_resumed(&self, duration: Duration) {
+    pub(crate) fn handle_resumption(&self, duration: Duration) {
         self.log.resumed(duration);
-        self.resumes.send_modify(|count| *count += 1);
-        self.outages.send_modify(|count| *count += 1);
+        self.resumptions.send_modify(|count| *count += 1);
+        self.store_recoveries.send_modify(|count| *count += 1);
         self.config_changed.notify_one();
     }
 
     /// Records the epoch that an answer of the store names. If the store has been restored from a
     /// backup, everything is read again, since the store gives out the same revisions again.
-    pub(crate) fn note_epoch(&self, epoch: u64) {
-        let before = self.core.borrow_mut().note_epoch(epoch);
+    pub(crate) fn record_epoch(&self, epoch: u64) {
+        let before = self.core.borrow_mut().record_epoch(epoch);
         let Some(before) = before else { return };
         self.log.epoch_changed(before, epoch);
         // What targets wrote after that backup is written again within some time.
-        self.away_at.set(Some(self.now()));
-        self.outages.send_modify(|count| *count += 1);
+        self.store_failed_at.set(Some(self.now()));
+        self.store_recoveries.send_modify(|count| *count += 1);
         self.config_changed.notify_one();
     }
 
     /// Applies a read of the configuration that was sent at `sent_at`.
-    pub(crate) fn take_read(&self, read: ConfigRead, sent_at: Tick) {
-        self.log.notes_unreadable(&read.unreadable, self.now());
+    pub(crate) fn apply_read(&self, read: ConfigRead, sent_at: Tick) {
+        self.log.quarantine_unreadable(&read.unreadable, self.now());
         let mut core = self.core.borrow_mut();
         let was_behind = core.is_store_behind();
-        if core.take_read(read, sent_at) {
+        if core.apply_read(read, sent_at) {
             self.log.config_changed(core.rules().version());
         }
         if core.is_store_behind() != was_behind {
@@ -167,24 +167,24 @@
     }
 
     /// Applies another entry's answer to a request for its proof.
-    pub(crate) fn take_proof(&self, proof: &PeerProof) {
+    pub(crate) fn apply_proof(&self, proof: &PeerProof) {
         let now = self.now();
         let mut core = self.core.borrow_mut();
-        let before: Vec<_> = core.evacuated().cloned().collect();
-        let verdict = core.take_proof(proof, now);
-        self.log.evacuations_changed(&before, core.evacuated());
+        let before: Vec<_> = core.evacuated_domains().cloned().collect();
+        let verdict = core.apply_proof(proof, now);
+        self.log.evacuations_changed(&before, core.evacuated_domains());
         if verdict != PeerVerdict::Useless {
             self.peer_verdict.set(verdict);
-            self.proof_told.notify_one();
+            self.proof_received.notify_one();
         }
     }
 
     /// Applies a read, sent at `sent_at`, of the failure domains that are out of service.
-    pub(crate) fn take_evacuations(&self, list: EvacuationList, sent_at: Tick) {
+    pub(crate) fn apply_evacuations(&self, list: EvacuationList, sent_at: Tick) {
         let mut core = self.core.borrow_mut();
-        let before: Vec<_> = core.evacuated().cloned().collect();
-        core.take_evacuations(list, sent_at, self.now());
-        self.log.evacuations_changed(&before, core.evacuated());
+        let before: Vec<_> = core.evacuated_domains().cloned().collect();
+        core.apply_evacuations(list, sent_at, self.now());
+        self.log.evacuations_changed(&before, core.evacuated_domains());
     }
 
     /// Returns `true` if a configuration is known and no change of it was missed.
@@ -194,18 +194,18 @@
     }
 
     /// Returns a number that is unique among the memory reservations of this process.
-    pub(crate) fn next_order(&self) -> u32 {
-        let number = self.order_number.get();
-        self.order_number.set(number.wrapping_add(1));
+    pub(crate) fn next_reservation_number(&self) -> u32 {
+        let number = self.next_reservation.get();
+        self.next_reservation.set(number.wrapping_add(1));
         number
     }
 
     /// Sends the messages that the core has for agents.
-    pub(crate) fn send_notes(&self) {
+    pub(crate) fn send_messages(&self) {
         let mut core = self.core.borrow_mut();
-        for message in core.take_notes() {
-            if let LoadNote::Suspected(report) = &message {
-                self.log.suspected(report.digest, report.lives.len());
+        for message in core.take_messages() {
+            if let LoadNote::RequestSuspected(report) = &message {
+                self.log.suspected(report.digest, report.instances.len());
             }
             self.link.send(&core, &message);
         }
@@ -213,53 +213,53 @@
 
     /// Sends reports of requests that crash targets, and logs those that are quarantined from now
     /// on.
-    pub(crate) fn tell_suspects(&self) {
-        self.send_notes();
+    pub(crate) fn report_suspects(&self) {
+        self.send_messages();
         let now = self.now();
         let mut core = self.core.borrow_mut();
-        for digest in core.decide_holds(now) {
-            if let Some(duration) = core.quarantine().holds().held_for(&digest, now) {
-                self.log.held_back(digest, duration);
+        for digest in core.decide_quarantine(now) {
+            if let Some(duration) = core.quarantine().quarantined().quarantine_left(&digest, now) {
+                self.log.quarantined(digest, duration);
             }
         }
-        if core.quarantine().holds().write_due().is_some() {
-            self.quarantine_due.notify_one();
+        if core.quarantine().quarantined().write_due().is_some() {
+            self.quarantine_write_due.notify_one();
         }
     }
 
     /// Releases the requests that wait for the start of this process, if it has started.
-    pub(crate) fn note_started(&self) {
+    pub(crate) fn finish_start(&self) {
         if self.core.borrow().has_started() {
-            self.start.send_replace(StartPhase::Over);
+            self.start_phase.send_replace(StartPhase::Done);
         }
     }
 
     /// Releases the requests that wait for the start, since the store does not answer.
-    pub(crate) fn note_turned_away(&self) {
-        self.start.send_replace(StartPhase::Over);
+    pub(crate) fn abort_start(&self) {
+        self.start_phase.send_replace(StartPhase::Done);
     }
 
     /// Waits for the start if this process has just started and has no configuration or targets.
     pub(crate) async fn wait_for_start(&self) {
-        let phase = *self.start.borrow();
+        let phase = *self.start_phase.borrow();
         let timeout = start_wait(phase, self.now().since(Tick::default()));
         if timeout.is_zero() {
             return;
         }
-        let mut start = self.start.subscribe();
+        let mut start = self.start_phase.subscribe();
         // The request itself checks the outcome of the start.
-        drop(tokio::time::timeout(timeout, start.wait_for(|phase| phase.is_over())).await);
+        drop(tokio::time::timeout(timeout, start.wait_for(|phase| phase.is_done())).await);
     }
 
     /// Returns the longest wait of one watch of the store.
-    pub(crate) fn watch_wait(&self) -> Duration {
-        watch_wait(self.core.borrow().limits().store_history)
+    pub(crate) fn watch_timeout(&self) -> Duration {
+        watch_timeout(self.core.borrow().limits().store_history)
     }
 
     /// Returns `true` if entries of the target list may have lapsed because the store was
     /// unreachable.
-    pub(crate) fn was_away(&self, now: Tick) -> bool {
-        self.away_at.get().is_some_and(|at| now.since(at) < RECOVERY_WINDOW)
+    pub(crate) fn was_store_unreachable(&self, now: Tick) -> bool {
+        self.store_failed_at.get().is_some_and(|at| now.since(at) < RECOVERY_WINDOW)
     }
 }
 
@@ -268,13 +268,13 @@
 
 impl OpenRequest {
     pub(crate) fn new(shared: &Rc<RelayShared>) -> Self {
-        shared.open.set(shared.open.get() + 1);
+        shared.open_requests.set(shared.open_requests.get() + 1);
         OpenRequest(shared.clone())
     }
 }
 
 impl Drop for OpenRequest {
     fn drop(&mut self) {
-        self.0.open.set(self.0.open.get() - 1);
+        self.0.open_requests.set(self.0.open_requests.get() - 1);
     }
 }
--- a/standins/src/control.rs
+++ b/standins/src/control.rs
@@ -252,7 +252,7 @@
         let list = revision(self.list_revision);
         let entry = &mut self.entries[number];
         entry.has_started = true;
-        entry.list.note_list(list, list);
+        entry.list.record_list(list, list);
         entry.watched = self.list_revision;
         entry.config_revision = self.config_revision;
         entry.config_watched = self.config_revision;
@@ -272,8 +272,8 @@
             if self.is_lost() {
                 continue;
             }
-            for out in self.agents[agent].on_note(&note, from, 100, self.now) {
-                self.deliver(out.to, &out.note, 1);
+            for out in self.agents[agent].on_message(&note, from, 100, self.now) {
+                self.deliver(out.to, &out.message, 1);
             }
         }
     }
@@ -285,14 +285,14 @@
         let now = self.now;
         let entry = &mut self.entries[number];
         match note {
-            LoadNote::Welcome { watchers, list_mark, config_mark, .. } => {
-                entry.list.note_agent(*watchers, *list_mark, now);
+            LoadNote::SubscriptionAck { watchers, list_mark, config_mark, .. } => {
+                entry.list.record_agent_report(*watchers, *list_mark, now);
                 if let Some(mark) = config_mark {
-                    entry.config.note_told(*mark, revision(entry.config_revision), now);
+                    entry.config.record_announced(*mark, revision(entry.config_revision), now);
                 }
             }
-            LoadNote::ListChanged(news) => {
-                entry.list.take_news(news, now);
+            LoadNote::TargetListChanged(news) => {
+                entry.list.apply_update(news, now);
             }
             _ => {}
         }
@@ -308,10 +308,10 @@
         let throws: [f64; 2] = [self.random.random(), self.random.random()];
         let entries = self.plan.entries;
         let entry = &mut self.entries[number];
-        let is_changed = entry.list.begin(self.listed, throws[0], self.now)
-            || entry.list.decide(part, entries, throws[1], self.now);
+        let is_changed = entry.list.choose_initial_watchers(self.listed, throws[0], self.now)
+            || entry.list.decide_watching(part, entries, throws[1], self.now);
         if is_changed && entry.list.is_watching() {
-            entry.watched = entry.watched.max(entry.list.known().number);
+            entry.watched = entry.watched.max(entry.list.known_up_to().number);
             self.count(1, |figures| &mut figures.config_reads);
         }
     }
@@ -338,44 +338,44 @@
         entry.watched = self.list_revision;
         entry.list_rests_until = now + list_rest(now.since(Tick::default()), DRAIN_BOUND);
         if is_watching {
-            entry.list.note_watched(revision(self.list_revision));
+            entry.list.record_watched(revision(self.list_revision));
         } else {
-            entry.list.note_caught_up(revision(self.list_revision));
+            entry.list.record_caught_up(revision(self.list_revision));
         }
     }
 
     fn tell_list(&mut self, number: usize) {
         let entry = &self.entries[number];
-        let since = entry.list.known().number.max(entry.watched);
-        if since >= self.list_revision || !entry.list.tells(self.random.random()) {
+        let since = entry.list.known_up_to().number.max(entry.watched);
+        if since >= self.list_revision || !entry.list.should_announce(self.random.random()) {
             return;
         }
         let changes = (self.list_revision - since) as usize;
         let news = ListNews {
             since: revision(since),
-            mark: revision(self.list_revision),
+            revision: revision(self.list_revision),
             age_ms: 0,
             changes: Vec::new(),
         };
-        let mark = news.mark;
-        self.tell(number, &LoadNote::ListChanged(news), changes * CHANGE_BYTES);
-        self.entries[number].list.note_announced(mark);
+        let mark = news.revision;
+        self.tell(number, &LoadNote::TargetListChanged(news), changes * CHANGE_BYTES);
+        self.entries[number].list.record_announced(mark);
     }
 
     /// Has a few agents tell the others something of so many bytes.
     fn tell(&mut self, number: usize, note: &LoadNote, bytes: usize) {
         let datagrams = bytes.div_ceil(MAX_NOTE).max(1);
         let from = self.entries[number].address;
-        for agent in self.tellers(NewsTeller::Alone) {
-            for out in self.agents[agent].on_note(note, from, 100, self.now) {
-                self.deliver(out.to, &out.note, datagrams);
+        for agent in self.tellers(NewsTeller::OneEntry) {
+            for out in self.agents[agent].on_message(note, from, 100, self.now) {
+                self.deliver(out.to, &out.message, datagrams);
             }
         }
     }
 
     /// Agents that pass on what an entry tells.
     fn tellers(&mut self, teller: NewsTeller) -> Vec<usize> {
-        let count = teller.agents(MOST_ENGINES.min(self.listed), self.listed);
+        let count = teller.relay_agents(MOST_ENGINES.min(self.listed), self.listed);
         let mut agents: Vec<usize> = (0..self.listed).collect();
         agents.shuffle(&mut self.random);
         agents.truncate(count);
@@ -402,16 +402,16 @@
         entry.config_watched = newest;
         entry.config_revision = newest;
         entry.config_rests_until = now + NEWS_STEP;
-        entry.config.note_read(revision(newest));
+        entry.config.record_read(revision(newest));
     }
 
     fn tell_config(&mut self, number: usize) {
-        if !self.entries[number].list.tells(self.random.random()) {
+        if !self.entries[number].list.should_announce(self.random.random()) {
             return;
         }
         let (since, mark) = (self.entries[number].config_watched, self.config_revision);
         // What an agent passes on reaches those that use its engine.
-        for agent in self.tellers(NewsTeller::Joint) {
+        for agent in self.tellers(NewsTeller::AllWatchers) {
             for other in 0..self.entries.len() {
                 if !self.entries[other].agents.contains(&agent) || self.is_lost() {
                     continue;
@@ -419,9 +419,9 @@
                 let (now, entry) = (self.now, &mut self.entries[other]);
                 if since <= entry.config_revision {
                     entry.config_revision = entry.config_revision.max(mark);
-                    entry.config.note_own(revision(entry.config_revision));
+                    entry.config.record_own(revision(entry.config_revision));
                 } else {
-                    entry.config.note_told(revision(mark), revision(entry.config_revision), now);
+                    entry.config.record_announced(revision(mark), revision(entry.config_revision), now);
                 }
             }
         }
--- a/standins/src/replay/engine.rs
+++ b/standins/src/replay/engine.rs
@@ -53,7 +53,7 @@
     /// with more that came before.
     fn time_to(&self, done: f64, rates: &EngineRates) -> f64 {
         let all = self.read.time.as_secs_f64();
-        let linear = (rates.linear_ms(self.read.tokens) / 1e3).min(all);
+        let linear = (rates.linear_prefill_ms(self.read.tokens) / 1e3).min(all);
         linear * done + (all - linear) * done * done
     }
 
@@ -180,7 +180,7 @@
     }
 
     fn start_pass(&mut self) -> (Unit, f64) {
-        let mut budget = self.rates.pass_tokens();
+        let mut budget = self.rates.pass_prefill_tokens();
         let mut seconds = 0.0;
         for line in &mut self.line {
             let (tokens, time) = line.take(budget, &self.rates);
@@ -188,7 +188,7 @@
             seconds += time;
         }
         let context = self.writers.iter().map(|writer| writer.context).sum();
-        seconds += self.rates.write_ms(self.writers.len(), context) / 1e3;
+        seconds += self.rates.decode_ms(self.writers.len(), context) / 1e3;
         let writers = self.writers.iter().map(|writer| writer.request).collect();
         let done = self.line.iter().filter(|line| line.done >= 1.0);
         let read = done.map(|line| line.read.request).collect();
--- a/standins/src/replay/world.rs
+++ b/standins/src/replay/world.rs
@@ -64,9 +64,9 @@
             step_tokens: 2_048,
             stride: 38,
             step_ms: 1.31,
-            per_writer_ms: 0.000_917,
+            per_stream_ms: 0.000_917,
             context_ms_per_k: 0.002_13,
-            read_per_s: 154_000.0,
+            prefill_per_s: 154_000.0,
             pairs_ms_per_m: 0.162,
         };
         ReplayFleet { entries: 30, engines: 60, rates, policy }
@@ -159,10 +159,10 @@
     let services =
         vec![ServiceRule { name: SERVICE.into(), engine: Some(rates.clone()), warmup: None }];
     let config = RelayConfig { version: 1, services, ..RelayConfig::default() };
-    core.take_config(Some(config), Tick::default());
+    core.apply_config(Some(config), Tick::default());
     let records = (0..fleet.engines).map(|number| TargetRecord {
         incarnation: engine_name(number.into()),
-        born_ms: 0,
+        started_ms: 0,
         service: SERVICE.into(),
         address: ([10, 0, (number >> 8) as u8, number as u8], 80).into(),
         failure_domain: "here".into(),
@@ -171,7 +171,7 @@
         listed_at: StoreRevision { epoch: 0, number: number.into() },
         warmup_ms: None,
     });
-    core.take_list(records.collect(), false, Tick::default());
+    core.apply_list(records.collect(), false, Tick::default());
     core
 }
 
@@ -250,7 +250,7 @@
             WorldEvent::Receive(number, engine, read) => self.receive(number, engine, read),
             WorldEvent::UnitEnd(engine) => self.end_unit(engine),
             WorldEvent::Event(number, attempt) => self.hear_event(number, attempt),
-            WorldEvent::Note(entry, note) => self.entries[entry].take_note(note, self.now),
+            WorldEvent::Note(entry, note) => self.entries[entry].apply_message(note, self.now),
             WorldEvent::TimeUp(number) => self.end(number, ReplayEnd::TimedOut),
         }
     }
@@ -261,9 +261,9 @@
         let since = self.now.since(Tick::default() + request.load.at);
         let waited = self.now.since(request.arrived);
         PromptNeed {
-            prompt: request.load.prompt,
-            answer: u64::from(kind.events) * u64::from(self.rates.stride),
-            first_limit: kind.first_limit,
+            prompt_tokens: request.load.prompt,
+            answer_tokens: u64::from(kind.events) * u64::from(self.rates.stride),
+            first_event_limit: kind.first_limit,
             waited,
             time_left: kind.time_limit.saturating_sub(since),
             longest_pause: kind.longest_pause,
@@ -278,7 +278,7 @@
             return;
         }
         let need = self.need(number);
-        let step = need.first_limit / PLACE_WAITS;
+        let step = need.first_event_limit / PLACE_WAITS;
         let core = &mut self.entries[request.entry];
         let scope = TargetScope::Untried(&[]);
         let Some(placement) = core.place(SERVICE, Some(&need), scope, self.now) else {
@@ -307,13 +307,13 @@
 
     fn send(&mut self, number: RequestNumber, placement: &Placement, need: &PromptNeed) {
         let entry = self.requests[number].entry;
-        let share = self.entries[entry].begin(placement, Some(need), self.now);
+        let share = self.entries[entry].begin_attempt(placement, Some(need), self.now);
         self.tell(entry);
         let parts = placement.helpers.len() as u32 + 1;
         let read = EngineRead {
             request: number,
-            tokens: need.prompt / u64::from(parts),
-            time: self.rates.read_time(need.prompt) / parts,
+            tokens: need.prompt_tokens / u64::from(parts),
+            time: self.rates.prefill_time(need.prompt_tokens) / parts,
             is_part: parts > 1,
             is_helper: false,
         };
@@ -329,12 +329,12 @@
         request.share = Some(share);
         request.target = target;
         request.unread = parts as usize;
-        request.context = (need.prompt + need.answer / 2) / (placement.seats.len() as u64 + 1);
+        request.context = (need.prompt_tokens + need.answer_tokens / 2) / (placement.reservations.len() as u64 + 1);
     }
 
     /// Passes on what an entry has to tell the others.
     fn tell(&mut self, from: usize) {
-        let notes = self.entries[from].take_notes();
+        let notes = self.entries[from].take_messages();
         for to in (0..self.entries.len()).filter(|to| *to != from) {
             for note in &notes {
                 self.after(LINK_DELAY * 2, WorldEvent::Note(to, note.clone()));
@@ -392,12 +392,12 @@
             None => {
                 let arrived = Tick::default() + request.load.at;
                 request.outcome.first = Some(self.now.since(arrived));
-                core.note_first(&share, self.now);
+                core.record_first_event(&share, self.now);
             }
             Some(last) => {
                 let pause = self.now.since(last);
                 request.outcome.pause = request.outcome.pause.max(pause);
-                core.note_pass(&share.target, self.now);
+                core.record_pass(&share.target, self.now);
             }
         }
         request.events_left -= 1;
@@ -415,7 +415,7 @@
         request.outcome.end = end;
         let entry = request.entry;
         let Some(share) = request.share.take() else { return };
-        self.entries[entry].end(&share);
+        self.entries[entry].end_attempt(&share);
         self.tell(entry);
         for name in std::iter::once(&share.target).chain(&share.helpers) {
             let engine = self.numbers[name];
--- a/tests/relay/budget.rs
+++ b/tests/relay/budget.rs
@@ -20,7 +20,7 @@
 /// Spends a retry of an entry, of its own ratio or by a grant of the agent.
 fn take(budget: &mut RetryBudget, shared: &mut SlackGate, millis: u64) -> bool {
     let now = at(millis);
-    budget.take(now) || matches!(shared.on_ask(&request(false), now), PermitReply::Granted { .. })
+    budget.take(now) || matches!(shared.on_request(&request(false), now), PermitReply::Granted { .. })
 }
 
 /// Times of the requests and retries of a fleet, in milliseconds.
@@ -51,7 +51,7 @@
             now += u64::from(wait);
             let budget = &mut budgets[usize::from(entry) % ENTRIES];
             if is_request {
-                budget.note_request(at(now));
+                budget.record_request(at(now));
                 count.requests.push(now);
             } else if take(budget, &mut shared, now) {
                 count.retries.push(now);
@@ -82,12 +82,12 @@
             }
             for budget in &mut budgets {
                 if random.random_bool(0.1) {
-                    budget.note_request(at(now));
+                    budget.record_request(at(now));
                     count.requests.push(now);
                 }
                 let is_own = budget.take(at(now));
                 // The agent's clock starts with its process.
-                let reply = shared.on_ask(&request(false), at(now - started_at));
+                let reply = shared.on_request(&request(false), at(now - started_at));
                 if is_own || matches!(reply, PermitReply::Granted { .. }) {
                     count.retries.push(now);
                 }
@@ -105,7 +105,7 @@
     for step in 0..100 {
         for _ in 0..20 {
             for is_second in [false, true] {
-                let reply = shared.on_ask(&request(is_second), at(100_000 + step * 100));
+                let reply = shared.on_request(&request(is_second), at(100_000 + step * 100));
                 granted += usize::from(matches!(reply, PermitReply::Granted { .. }));
             }
         }
@@ -116,11 +116,11 @@
 #[test]
 fn a_refusal_states_when_the_next_retry_is_available() {
     let mut shared = SlackGate::default();
-    let replies = (0..80).map(|_| shared.on_ask(&request(false), at(100_000)));
+    let replies = (0..80).map(|_| shared.on_request(&request(false), at(100_000)));
     let last = replies.last().unwrap();
     let PermitReply::Refused { wait_ms } = last else { panic!("{last:?}") };
     let later = at(100_000) + ms(u64::from(wait_ms) + 1);
-    assert_eq!(shared.on_ask(&request(false), later), PermitReply::Granted { after_ms: 0 });
+    assert_eq!(shared.on_request(&request(false), later), PermitReply::Granted { after_ms: 0 });
 }
 
 #[test]
@@ -129,7 +129,7 @@
         let mut shared = SlackGate::default();
         for window_ms in [0, 10_000] {
             let request = SlackAsk { slack, window_ms, ..request(false) };
-            let reply = shared.on_ask(&request, at(100_000));
+            let reply = shared.on_request(&request, at(100_000));
             assert!(matches!(reply, PermitReply::Refused { .. }), "{slack}: {reply:?}");
         }
     }
@@ -140,10 +140,10 @@
 fn an_entry_without_enough_requests_has_no_retry() {
     let mut budget = RetryBudget::new(BOUND);
     for _ in 0..7 {
-        budget.note_request(at(0));
+        budget.record_request(at(0));
         assert!(!budget.take(at(0)));
     }
-    budget.note_request(at(0));
+    budget.record_request(at(0));
     assert!(budget.take(at(0)));
     assert!(!budget.take(at(0)));
 }
@@ -151,9 +151,9 @@
 #[test]
 fn an_entry_without_an_answering_agent_has_one_retry_in_each_window() {
     let mut budget = RetryBudget::new(BOUND);
-    let taken = (0..200).filter(|_| budget.take_alone(at(0))).count();
+    let taken = (0..200).filter(|_| budget.take_without_agent(at(0))).count();
     assert_eq!(taken, 1);
-    assert!(budget.take_alone(at(0) + ms(10_001)), "the window has passed");
+    assert!(budget.take_without_agent(at(0) + ms(10_001)), "the window has passed");
 }
 
 /// Counts the retries that an agent grants within `span` milliseconds, asked all the time from
@@ -162,7 +162,7 @@
     let mut shared = SlackGate::default();
     let replies = (from..from + span).step_by(5).flat_map(|millis| {
         let replies: Vec<_> =
-            (0..40).map(|_| shared.on_ask(&request(is_second), at(millis))).collect();
+            (0..40).map(|_| shared.on_request(&request(is_second), at(millis))).collect();
         replies
     });
     replies.filter(|reply| matches!(reply, PermitReply::Granted { .. })).count()
--- a/tests/relay/config_news.rs
+++ b/tests/relay/config_news.rs
@@ -12,7 +12,7 @@
 use shalelane::relay::peers::load_note::LoadNote;
 use shalelane::time::Tick;
 
-use crate::fixture::{at, check, config_news, limits, ms, name, revision, route};
+use crate::fixture::{at, check, config_update, limits, ms, name, revision, route};
 
 /// A configuration with one route, and one account with these keys.
 fn config(version: u64, keys: &[&str]) -> RelayConfig {
@@ -34,7 +34,7 @@
 /// An entry that read the first configuration at revision 5 and `at(1_000)`.
 fn entry(number: u64) -> RelayCore {
     let mut core = RelayCore::new(limits(StalePolicy::FailClosed), number);
-    core.take_read(read(5, Some(config(1, &["k1"]))), at(1_000));
+    core.apply_read(read(5, Some(config(1, &["k1"]))), at(1_000));
     assert_eq!(
         core.take_config_change(),
         None,
@@ -45,7 +45,7 @@
 
 /// Applies an update from the entry's own watch, and returns the delta that it announces.
 fn watch_update(core: &mut RelayCore, number: u64, config: RelayConfig, now: Tick) -> ConfigDelta {
-    core.take_news(config_news(revision(number), config), now);
+    core.apply_update(config_update(revision(number), config), now);
     core.take_config_change().expect("a change")
 }
 
@@ -57,11 +57,11 @@
 fn an_update_of_one_watcher_is_in_force_at_another_entry() {
     let (mut watcher, mut other) = (entry(1), entry(2));
     let delta = watch_update(&mut watcher, 6, config(2, &["k2"]), at(1_500));
-    assert!(other.take_delta(&delta, at(1_502)));
+    assert!(other.apply_delta(&delta, at(1_502)));
     assert_eq!(other.config_revision(), revision(6));
     assert!(is_admitted(&mut other, "k2", at(1_510)));
-    assert_eq!(other.admit("h", "/a/x", Some("k1"), at(1_510)).unwrap_err(), Refusal::BadKey);
-    assert!(!other.take_delta(&delta, at(1_520)), "a second copy");
+    assert_eq!(other.admit("h", "/a/x", Some("k1"), at(1_510)).unwrap_err(), Refusal::UnknownKey);
+    assert!(!other.apply_delta(&delta, at(1_520)), "a second copy");
 }
 
 #[test]
@@ -84,13 +84,13 @@
     let (mut watcher, mut other) = (entry(1), entry(2));
     let first = watch_update(&mut watcher, 6, config(2, &["k2"]), at(1_500));
     let second = watch_update(&mut watcher, 8, config(3, &["k3"]), at(1_900));
-    assert!(!other.take_delta(&second, at(1_910)));
+    assert!(!other.apply_delta(&second, at(1_910)));
     assert!(!other.is_config_behind(at(1_950)), "copies may arrive through other agents");
     assert!(other.is_config_behind(at(2_800)));
-    assert!(other.take_delta(&first, at(2_810)));
-    assert!(other.take_delta(&second, at(2_820)));
+    assert!(other.apply_delta(&first, at(2_810)));
+    assert!(other.apply_delta(&second, at(2_820)));
     assert!(!other.is_config_behind(at(2_830)));
-    assert!(!other.take_delta(&first, at(2_840)), "late update");
+    assert!(!other.apply_delta(&first, at(2_840)), "late update");
     assert!(is_admitted(&mut other, "k3", at(2_850)));
 }
 
@@ -101,9 +101,9 @@
     let first = watch_update(&mut one, 6, config(2, &["k2"]), at(1_500));
     let both = watch_update(&mut two, 7, config(3, &["k3"]), at(1_600));
     let last = watch_update(&mut one, 9, config(4, &["k4"]), at(1_700));
-    assert!(other.take_delta(&first, at(1_510)));
-    assert!(other.take_delta(&both, at(1_610)));
-    assert!(other.take_delta(&last, at(1_710)));
+    assert!(other.apply_delta(&first, at(1_510)));
+    assert!(other.apply_delta(&both, at(1_610)));
+    assert!(other.apply_delta(&last, at(1_710)));
     assert!(is_admitted(&mut other, "k4", at(1_720)));
 }
 
@@ -114,10 +114,10 @@
 fn a_watcher_that_received_an_update_announces_from_its_own_position() {
     let (mut first, mut second, mut other) = (entry(1), entry(2), entry(3));
     let delta = watch_update(&mut first, 6, config(2, &["k2"]), at(1_500));
-    assert!(second.take_delta(&delta, at(1_502)));
+    assert!(second.apply_delta(&delta, at(1_502)));
     let again = watch_update(&mut second, 6, config(2, &["k2"]), at(1_503));
-    assert_eq!((again.since, again.mark), (revision(5), revision(6)));
-    assert!(other.take_delta(&again, at(1_504)));
+    assert_eq!((again.since, again.revision), (revision(5), revision(6)));
+    assert!(other.apply_delta(&again, at(1_504)));
     assert!(is_admitted(&mut other, "k2", at(1_510)));
 }
 
@@ -125,7 +125,7 @@
 #[test]
 fn a_revision_reported_by_agents_reveals_lost_updates() {
     let mut core = entry(1);
-    let acknowledgement = LoadNote::Welcome {
+    let acknowledgement = LoadNote::SubscriptionAck {
         target: name("t"),
         entries: 9,
         pace_percent: 100,
@@ -135,26 +135,26 @@
         list_mark: None,
         config_mark: Some(revision(7)),
     };
-    core.take_note(acknowledgement, at(2_000));
+    core.apply_message(acknowledgement, at(2_000));
     assert!(core.is_config_behind(at(2_900)));
-    core.take_read(read(6, Some(config(2, &["k2"]))), at(2_900));
+    core.apply_read(read(6, Some(config(2, &["k2"]))), at(2_900));
     assert!(!core.is_config_behind(at(9_000)), "the store has nothing later");
 }
 
 #[test]
 fn a_listener_reads_the_store_sooner_than_a_watcher() {
     let mut sync = ConfigShare::default();
-    sync.note_told(revision(7), revision(5), at(1_000));
+    sync.record_announced(revision(7), revision(5), at(1_000));
     assert!(sync.is_behind(false, at(1_150)));
     assert!(!sync.is_behind(true, at(1_700)), "its watch may be delayed between two answers");
     assert!(sync.is_behind(true, at(1_800)));
-    sync.note_own(revision(7));
+    sync.record_own(revision(7));
     assert!(!sync.is_behind(false, at(1_900)));
 }
 
 /// Passes the answer of `other` to a proof query of `core` back to `core`.
 fn exchange_proof(core: &mut RelayCore, other: &RelayCore, now: Tick) -> Option<PeerVerdict> {
-    let acknowledgement = LoadNote::Welcome {
+    let acknowledgement = LoadNote::SubscriptionAck {
         target: name("t"),
         entries: 2,
         pace_percent: 100,
@@ -164,15 +164,15 @@
         list_mark: None,
         config_mark: None,
     };
-    core.take_note(acknowledgement, now);
-    let (_, LoadNote::AskProof { nonce }) = core.ask_proof(now)? else { return None };
-    let answer = other.tell_proof(nonce, now)?;
-    let LoadNote::TellProof { nonce, revision, config_digest, proof_age_ms, evacuated } = answer
+    core.apply_message(acknowledgement, now);
+    let (_, LoadNote::QueryProof { nonce }) = core.request_proof(now)? else { return None };
+    let answer = other.answer_proof_request(nonce, now)?;
+    let LoadNote::AnswerProof { nonce, revision, config_digest, proof_age_ms, evacuated } = answer
     else {
         return None;
     };
     let age = ms(proof_age_ms.into());
-    Some(core.take_proof(&PeerProof { nonce, revision, config_digest, age, evacuated }, now))
+    Some(core.apply_proof(&PeerProof { nonce, revision, config_digest, age, evacuated }, now))
 }
 
 /// A false update admits no request beyond the end of the lease, whichever process sent it.
@@ -181,13 +181,13 @@
     let (mut honest, mut deceived) = (entry(1), entry(2));
     let mut liar = entry(3);
     let forged = watch_update(&mut liar, 900, config(9, &["k1", "stolen"]), at(1_500));
-    assert!(deceived.take_delta(&forged, at(1_510)));
+    assert!(deceived.apply_delta(&forged, at(1_510)));
     assert!(is_admitted(&mut deceived, "stolen", at(1_520)), "admitted until it has to be proven");
     assert!(
-        deceived.tell_proof(7, at(1_530)).is_none(),
+        deceived.answer_proof_request(7, at(1_530)).is_none(),
         "an unconfirmed configuration proves nothing to others"
     );
-    honest.take_read(read(5, None), at(3_000));
+    honest.apply_read(read(5, None), at(3_000));
     let verdict = exchange_proof(&mut deceived, &honest, at(3_100));
     assert_eq!(
         verdict,
@@ -195,7 +195,7 @@
         "an earlier revision does not prove a later one"
     );
     assert!(!is_admitted(&mut deceived, "stolen", at(5_760)), "the lease has expired");
-    assert!(deceived.take_read(read(5, Some(config(1, &["k1"]))), at(5_800)));
+    assert!(deceived.apply_read(read(5, Some(config(1, &["k1"]))), at(5_800)));
     assert!(is_admitted(&mut deceived, "k1", at(5_810)));
     assert!(!is_admitted(&mut deceived, "stolen", at(5_810)));
     assert_eq!(deceived.config_revision(), revision(5));
@@ -206,12 +206,12 @@
 fn a_false_update_of_an_existing_revision_ends_with_the_lease() {
     let (mut honest, mut deceived, mut liar) = (entry(1), entry(2), entry(3));
     watch_update(&mut honest, 6, config(2, &["k2"]), at(1_500));
-    honest.take_read(read(6, None), at(3_000));
+    honest.apply_read(read(6, None), at(3_000));
     let forged = watch_update(&mut liar, 6, config(2, &["stolen"]), at(1_500));
-    deceived.take_delta(&forged, at(1_510));
+    deceived.apply_delta(&forged, at(1_510));
     let verdict = exchange_proof(&mut deceived, &honest, at(3_100));
     assert_eq!(verdict, Some(PeerVerdict::Useless), "the same revision with different content");
-    assert!(deceived.take_read(read(6, Some(config(2, &["k2"]))), at(3_200)));
+    assert!(deceived.apply_read(read(6, Some(config(2, &["k2"]))), at(3_200)));
     assert!(is_admitted(&mut deceived, "k2", at(3_210)));
     assert!(!is_admitted(&mut deceived, "stolen", at(3_210)));
 }
@@ -220,8 +220,8 @@
 fn the_own_watch_overrides_an_update_of_the_same_revision() {
     let (mut deceived, mut liar) = (entry(1), entry(2));
     let forged = watch_update(&mut liar, 6, config(2, &["stolen"]), at(1_500));
-    deceived.take_delta(&forged, at(1_510));
-    deceived.take_news(config_news(revision(6), config(2, &["k2"])), at(1_520));
+    deceived.apply_delta(&forged, at(1_510));
+    deceived.apply_update(config_update(revision(6), config(2, &["k2"])), at(1_520));
     assert!(is_admitted(&mut deceived, "k2", at(1_530)));
     assert!(!is_admitted(&mut deceived, "stolen", at(1_530)));
 }
@@ -230,13 +230,13 @@
 fn a_true_update_is_confirmed_by_another_entry() {
     let (mut watcher, mut other) = (entry(1), entry(2));
     let delta = watch_update(&mut watcher, 6, config(2, &["k2"]), at(1_500));
-    watcher.take_read(read(6, None), at(3_000));
-    other.take_delta(&delta, at(1_510));
+    watcher.apply_read(read(6, None), at(3_000));
+    other.apply_delta(&delta, at(1_510));
     assert!(!other.is_config_confirmed());
     let verdict = exchange_proof(&mut other, &watcher, at(3_100));
     assert!(matches!(verdict, Some(PeerVerdict::ProvenAt(_))));
     assert!(other.is_config_confirmed());
-    assert!(other.tell_proof(7, at(3_200)).is_some());
+    assert!(other.answer_proof_request(7, at(3_200)).is_some());
 }
 
 /// A read that was under way when the update arrived does not contradict it.
@@ -244,8 +244,8 @@
 fn an_earlier_read_does_not_refute_a_later_update() {
     let (mut watcher, mut other) = (entry(1), entry(2));
     let delta = watch_update(&mut watcher, 6, config(2, &["k2"]), at(1_500));
-    other.take_delta(&delta, at(1_510));
-    assert!(!other.take_read(read(5, Some(config(1, &["k1"]))), at(1_490)));
+    other.apply_delta(&delta, at(1_510));
+    assert!(!other.apply_read(read(5, Some(config(1, &["k1"]))), at(1_490)));
     assert!(is_admitted(&mut other, "k2", at(1_520)));
 }
 
--- a/tests/relay/crashes.rs
+++ b/tests/relay/crashes.rs
@@ -25,9 +25,9 @@
     let engine = Some(rates());
     let services = vec![ServiceRule { name: name("engines"), engine, warmup: None }];
     let config = RelayConfig { version: 1, services, ..RelayConfig::default() };
-    core.take_config(Some(config), at(0));
+    core.apply_config(Some(config), at(0));
     let records = (0..engines).map(|number| record(&format!("e{number}"), number)).collect();
-    core.take_list(records, false, at(0));
+    core.apply_list(records, false, at(0));
     core
 }
 
@@ -39,11 +39,11 @@
 /// entry has no retry left. Returns whether it was served, and the number of sends.
 fn send_prompt(core: &mut RelayCore, crashed: &HashSet<Arc<str>>, mut now: Tick) -> (bool, usize) {
     let service = name("engines");
-    core.note_request(&service, now);
+    core.record_request(&service, now);
     let mut count = SendCount::default();
     let mut tried: Vec<Arc<str>> = Vec::new();
     let mut sends = 0;
-    while count.permits(MOST_RUNS) {
+    while count.allows(MOST_RUNS) {
         let need = need(300_000);
         let scope = TargetScope::Untried(&tried);
         let Some(Placement { target, helpers, .. }) =
@@ -53,9 +53,9 @@
         };
         now = now + ms(30);
         if crashed.contains(&target) {
-            core.note_failure(&target, TargetFault::Broken, now);
+            core.record_failure(&target, TargetFault::Broken, now);
             tried.push(target);
-            count.note(SendEnd::NotSent);
+            count.record(SendEnd::NotSent);
             continue;
         }
         sends += 1;
@@ -63,8 +63,8 @@
             return (true, sends);
         };
         let failed = address(core, helper);
-        assert!(core.note_helper_failure(&target, failed, now));
-        count.note(SendEnd::Refused);
+        assert!(core.record_helper_failure(&target, failed, now));
+        count.record(SendEnd::Refused);
         if !core.take_retry(&service, now) {
             return (false, sends);
         }
@@ -83,13 +83,13 @@
         let crashed = (0..8).map(|number| name(&format!("e{}", (first * 7 + number * 11) % 48)));
         let crashed: HashSet<_> = crashed.collect();
         let mut core = entry(48);
-        core.take_note(subscription_ack(name("e0"), 100), at(10));
+        core.apply_message(subscription_ack(name("e0"), 100), at(10));
         served_without_reports += usize::from(send_prompt(&mut core, &crashed, at(1_000)).0);
         let mut core = entry(48);
-        core.take_note(subscription_ack(name("e0"), 100), at(10));
+        core.apply_message(subscription_ack(name("e0"), 100), at(10));
         for engine in &crashed {
             let host: IpAddr = address(&core, engine).ip();
-            core.note_down(host, at(990));
+            core.record_down(host, at(990));
         }
         assert_eq!(send_prompt(&mut core, &crashed, at(1_000)), (true, 1), "crashed: {crashed:?}");
     }
@@ -104,11 +104,11 @@
     let mut core = entry(2);
     let host = address(&core, "e0").ip();
     let target = core.targets.get_mut("e0").unwrap();
-    target.note_sent(at(1_000));
-    target.note_heard(at(1_000));
-    core.note_down(host, at(1_100));
+    target.record_sent(at(1_000));
+    target.record_received(at(1_000));
+    core.record_down(host, at(1_100));
     assert!(!core.targets.get("e0").unwrap().is_ejected(at(1_100)));
-    core.note_down(host, at(1_600));
+    core.record_down(host, at(1_600));
     assert!(core.targets.get("e0").unwrap().is_ejected(at(1_600)));
     assert!(!core.targets.get("e0").unwrap().is_ejected(at(2_700)), "until it is reported again");
 }
@@ -117,34 +117,34 @@
 fn refusals_for_lack_of_capacity_are_bounded() {
     let mut count = SendCount::default();
     for _ in 0..5 {
-        assert!(count.permits(MOST_RUNS));
-        count.note(SendEnd::Refused);
+        assert!(count.allows(MOST_RUNS));
+        count.record(SendEnd::Refused);
     }
-    assert!(!count.permits(MOST_RUNS));
+    assert!(!count.allows(MOST_RUNS));
 }
 
 #[test]
 fn runs_are_bounded_by_the_route() {
     let mut count = SendCount::default();
     for _ in 0..MOST_RUNS {
-        assert!(count.permits(MOST_RUNS));
-        count.note(SendEnd::MayHaveRun);
+        assert!(count.allows(MOST_RUNS));
+        count.record(SendEnd::MayHaveRun);
     }
-    assert!(!count.permits(MOST_RUNS));
+    assert!(!count.allows(MOST_RUNS));
 }
 
 #[test]
 fn an_agent_polls_its_engine_at_once_if_an_entry_suspects_it() {
     let mut watch = EngineWatch::default();
     assert!(!watch.is_due(false, at(0)), "nothing to do");
-    watch.note_suspicion(entry_address(1), at(5));
+    watch.record_suspicion(entry_address(1), at(5));
     assert!(watch.is_due(false, at(10)));
-    assert!(watch.note_report(ReportEnd::Refused));
+    assert!(watch.record_report(ReportEnd::Refused));
     assert!(!watch.is_due(false, at(20)));
-    watch.note_suspicion(entry_address(1), at(45));
+    watch.record_suspicion(entry_address(1), at(45));
     assert!(!watch.is_due(false, at(50)), "some entries suspect it at the same moment");
     assert!(watch.is_due(false, at(410)), "polled again while it is down");
-    assert!(!watch.note_report(ReportEnd::Pace(150)));
+    assert!(!watch.record_report(ReportEnd::Pace(150)));
     assert_eq!(watch.pace_percent(), 150);
 }
 
@@ -158,14 +158,14 @@
 #[test]
 fn an_agent_reports_an_engine_that_two_entries_suspect() {
     let mut watch = EngineWatch::default();
-    assert!(!watch.note_suspicion(entry_address(1), at(0)));
-    assert!(!watch.note_suspicion(entry_address(1), at(200)), "one entry may be disconnected");
-    assert!(watch.note_suspicion(entry_address(2), at(300)));
-    assert!(!watch.note_suspicion(entry_address(3), at(310)), "reported a moment ago");
-    assert!(watch.note_suspicion(entry_address(3), at(450)), "and still suspected");
-    assert!(!watch.note_report(ReportEnd::Pace(100)), "its report does not show the failure");
+    assert!(!watch.record_suspicion(entry_address(1), at(0)));
+    assert!(!watch.record_suspicion(entry_address(1), at(200)), "one entry may be disconnected");
+    assert!(watch.record_suspicion(entry_address(2), at(300)));
+    assert!(!watch.record_suspicion(entry_address(3), at(310)), "reported a moment ago");
+    assert!(watch.record_suspicion(entry_address(3), at(450)), "and still suspected");
+    assert!(!watch.record_report(ReportEnd::Pace(100)), "its report does not show the failure");
     assert!(
-        !watch.note_suspicion(entry_address(4), at(2_000)),
+        !watch.record_suspicion(entry_address(4), at(2_000)),
         "the other suspicions are outdated"
     );
 }
@@ -173,10 +173,10 @@
 #[test]
 fn one_late_report_does_not_make_an_engine_down() {
     let mut watch = EngineWatch::default();
-    assert!(!watch.note_report(ReportEnd::Missed));
-    assert!(!watch.note_report(ReportEnd::Pace(100)));
-    assert!(!watch.note_report(ReportEnd::Missed));
-    assert!(watch.note_report(ReportEnd::Missed));
+    assert!(!watch.record_report(ReportEnd::Missed));
+    assert!(!watch.record_report(ReportEnd::Pace(100)));
+    assert!(!watch.record_report(ReportEnd::Missed));
+    assert!(watch.record_report(ReportEnd::Missed));
 }
 
 /// Entries are counted even if each agent knows only a part of them.
@@ -186,14 +186,14 @@
     for number in 0..96 {
         let target = name(&format!("e{number}"));
         // Each of 75 entries uses 64 of 96 engines, so two thirds of the agents know it.
-        core.take_note(subscription_ack(target, 50), at(10));
+        core.apply_message(subscription_ack(target, 50), at(10));
     }
     assert_eq!(core.fleet_entries(), Some(75));
 }
 
 fn subscription_ack(target: Arc<str>, entries: u32) -> LoadNote {
     let (proof_age_ms, proof_from) = (None, None);
-    LoadNote::Welcome {
+    LoadNote::SubscriptionAck {
         target,
         entries,
         pace_percent: 100,
--- a/tests/relay/engine_subset.rs
+++ b/tests/relay/engine_subset.rs
@@ -11,7 +11,7 @@
 const MAX_ENGINES: usize = 24;
 
 fn use_engines(set: &mut TargetSet, entry: u64, domain: &str) -> Vec<Arc<str>> {
-    let query = SubsetQuery { entry, failure_domain: domain, most: MAX_ENGINES };
+    let query = SubsetQuery { entry, failure_domain: domain, max_engines: MAX_ENGINES };
     mark_used(set, &[name("engines")], query, at(0));
     let names = set.iter().filter(|target| target.is_used);
     let mut names: Vec<_> = names.map(|target| target.record.incarnation.clone()).collect();
@@ -72,7 +72,7 @@
 fn an_ejected_engine_is_replaced_meanwhile() {
     let mut set = fleet();
     let before = use_engines(&mut set, 7, "d3");
-    set.get_mut(&before[5]).unwrap().note_failure(TargetFault::Broken, at(0));
+    set.get_mut(&before[5]).unwrap().record_failure(TargetFault::Broken, at(0));
     let after = use_engines(&mut set, 7, "d3");
     assert_eq!(after.len(), MAX_ENGINES);
     assert!(!after.contains(&before[5]));
--- a/tests/relay/evacuations.rs
+++ b/tests/relay/evacuations.rs
@@ -29,12 +29,12 @@
     let mut core = RelayCore::new(limits, entry);
     let service = ServiceRule { name: name("engines"), engine: Some(rates()), warmup: None };
     let config = RelayConfig { version: 1, services: vec![service], ..RelayConfig::default() };
-    core.take_config(Some(config), at(0));
+    core.apply_config(Some(config), at(0));
     core.set_config_revision(revision(1));
     let others =
         ["b", "c"].into_iter().zip(2..).map(|(name, number)| in_domain(name, number, "there"));
     let records = std::iter::once(record("a", 1)).chain(others).collect();
-    core.take_list(records, false, at(0));
+    core.apply_list(records, false, at(0));
     core
 }
 
@@ -45,7 +45,7 @@
 #[test]
 fn nothing_is_sent_to_an_evacuated_domain() {
     let mut core = core(1);
-    assert!(core.take_evacuations(evacuation(&["there"]), at(10), at(20)));
+    assert!(core.apply_evacuations(evacuation(&["there"]), at(10), at(20)));
     for prompt in [5_000, 40_000, 300_000] {
         let placement = place(&mut core, prompt, at(30)).expect("one engine is left");
         assert_eq!(&*placement.target, "a", "{prompt} tokens");
@@ -66,9 +66,9 @@
     let tried = [name("a")];
     let scope = TargetScope::Untried(&tried);
     let placement = core.place("engines", Some(&need(5_000)), scope, at(10)).unwrap();
-    let share = core.begin(&placement, Some(&need(5_000)), at(10));
+    let share = core.begin_attempt(&placement, Some(&need(5_000)), at(10));
     assert!(core.may_send(&share, at(11)));
-    core.take_evacuations(evacuation(&["there"]), at(12), at(13));
+    core.apply_evacuations(evacuation(&["there"]), at(12), at(13));
     assert!(!core.may_send(&share, at(14)));
 }
 
@@ -78,17 +78,17 @@
     let mut placement = place(&mut core, 5_000, at(10)).unwrap();
     placement.target = name("a");
     placement.helpers = vec![name("b")];
-    let share = core.begin(&placement, Some(&need(5_000)), at(10));
-    core.take_evacuations(evacuation(&["there"]), at(12), at(13));
+    let share = core.begin_attempt(&placement, Some(&need(5_000)), at(10));
+    core.apply_evacuations(evacuation(&["there"]), at(12), at(13));
     assert!(!core.may_send(&share, at(14)));
 }
 
 #[test]
 fn targets_that_are_listed_later_are_evacuated_as_well() {
     let mut core = core(1);
-    core.take_evacuations(evacuation(&["there"]), at(10), at(20));
-    core.take_change(in_domain("d", 4, "there"), at(30));
-    core.take_change(TargetRecord { born_ms: 9, ..in_domain("b", 2, "there") }, at(30));
+    core.apply_evacuations(evacuation(&["there"]), at(10), at(20));
+    core.apply_change(in_domain("d", 4, "there"), at(30));
+    core.apply_change(TargetRecord { started_ms: 9, ..in_domain("b", 2, "there") }, at(30));
     for name in ["b", "c", "d"] {
         assert!(!core.targets.get(name).unwrap().is_usable(at(40)), "{name}");
     }
@@ -97,7 +97,7 @@
 #[test]
 fn with_all_domains_evacuated_callers_get_a_retry_time() {
     let mut core = core(1);
-    core.take_evacuations(evacuation(&["here", "there"]), at(10), at(20));
+    core.apply_evacuations(evacuation(&["here", "there"]), at(10), at(20));
     assert!(place(&mut core, 5_000, at(30)).is_none());
     assert_eq!(core.time_to_target("engines", at(30)), Some(ms(2_000)));
 }
@@ -105,17 +105,17 @@
 #[test]
 fn an_evacuation_ends_with_the_first_proof_without_it() {
     let mut core = core(1);
-    core.take_evacuations(evacuation(&["here", "there"]), at(10), at(20));
-    assert!(core.take_evacuations(evacuation(&["there"]), at(100), at(110)));
+    core.apply_evacuations(evacuation(&["here", "there"]), at(10), at(20));
+    assert!(core.apply_evacuations(evacuation(&["there"]), at(100), at(110)));
     assert_eq!(&*place(&mut core, 5_000, at(120)).unwrap().target, "a");
 }
 
 #[test]
 fn an_older_proof_does_not_end_an_evacuation() {
     let mut core = core(1);
-    core.take_evacuations(evacuation(&["there"]), at(100), at(110));
-    assert!(!core.take_evacuations(evacuation(&[]), at(90), at(120)));
-    assert_eq!(core.evacuated().count(), 1);
+    core.apply_evacuations(evacuation(&["there"]), at(100), at(110));
+    assert!(!core.apply_evacuations(evacuation(&[]), at(90), at(120)));
+    assert_eq!(core.evacuated_domains().count(), 1);
 }
 
 /// No entry serves with older knowledge than the bound allows, even if it cannot reach the store
@@ -130,7 +130,7 @@
 /// Requests the proof of `other` at `now`, and applies the answer to `core`.
 fn share_proof(core: &mut RelayCore, other: &RelayCore, now: Tick) -> PeerVerdict {
     let proof_age_ms = other.lease().age(now).map(|age| age.as_millis() as u32);
-    let ack = LoadNote::Welcome {
+    let ack = LoadNote::SubscriptionAck {
         target: name("t"),
         entries: 2,
         pace_percent: 100,
@@ -140,17 +140,17 @@
         list_mark: None,
         config_mark: None,
     };
-    core.take_note(ack, now);
-    let Some((_, LoadNote::AskProof { nonce })) = core.ask_proof(now) else {
+    core.apply_message(ack, now);
+    let Some((_, LoadNote::QueryProof { nonce })) = core.request_proof(now) else {
         panic!("no proof request");
     };
-    let answer = other.tell_proof(nonce, now).expect("a proof");
+    let answer = other.answer_proof_request(nonce, now).expect("a proof");
     assert!(answer.to_bytes().unwrap().len() <= MAX_NOTE);
-    let LoadNote::TellProof { nonce, revision, config_digest, proof_age_ms, evacuated } = answer
+    let LoadNote::AnswerProof { nonce, revision, config_digest, proof_age_ms, evacuated } = answer
     else {
         panic!("no proof");
     };
-    core.take_proof(
+    core.apply_proof(
         &PeerProof { nonce, revision, config_digest, age: ms(proof_age_ms.into()), evacuated },
         now,
     )
@@ -159,11 +159,11 @@
 #[test]
 fn the_proof_of_another_entry_carries_its_evacuations() {
     let (mut reader, mut receiver) = (core(1), core(2));
-    reader.take_evacuations(evacuation(&["there"]), at(2_000), at(2_010));
-    reader.take_config(None, at(2_000));
+    reader.apply_evacuations(evacuation(&["there"]), at(2_000), at(2_010));
+    reader.apply_config(None, at(2_000));
     let verdict = share_proof(&mut receiver, &reader, at(2_500));
     assert!(matches!(verdict, PeerVerdict::ProvenAt(_)));
-    assert_eq!(receiver.evacuated().collect::<Vec<_>>(), [&name("there")]);
+    assert_eq!(receiver.evacuated_domains().collect::<Vec<_>>(), [&name("there")]);
     assert!(!receiver.targets.get("b").unwrap().is_usable(at(2_510)));
 }
 
@@ -172,23 +172,23 @@
 #[test]
 fn the_proof_of_a_later_configuration_carries_evacuations_too() {
     let (mut reader, mut receiver) = (core(1), core(2));
-    reader.take_evacuations(evacuation(&["there"]), at(2_000), at(2_010));
-    reader.take_config(Some(RelayConfig { version: 2, ..RelayConfig::default() }), at(2_000));
+    reader.apply_evacuations(evacuation(&["there"]), at(2_000), at(2_010));
+    reader.apply_config(Some(RelayConfig { version: 2, ..RelayConfig::default() }), at(2_000));
     reader.set_config_revision(revision(5));
     assert_eq!(share_proof(&mut receiver, &reader, at(2_500)), PeerVerdict::Behind);
-    assert_eq!(receiver.evacuated().count(), 0, "it does not prove the configuration known here");
-    receiver.take_copy(&reader.config_copy().unwrap(), at(2_520));
-    assert_eq!(receiver.evacuated().count(), 1);
+    assert_eq!(receiver.evacuated_domains().count(), 0, "it does not prove the configuration known here");
+    receiver.apply_copy(&reader.config_copy().unwrap(), at(2_520));
+    assert_eq!(receiver.evacuated_domains().count(), 1);
 }
 
 /// A store that was restored from a copy may have lost later writes.
 #[test]
 fn a_restored_store_does_not_end_an_evacuation_at_once() {
     let mut set = EvacuationSet::default();
-    set.take([name("there")], 0, at(1_000), at(1_010));
-    assert!(!set.take([], 1, at(2_000), at(2_010)), "a missing domain may be written again");
-    assert!(set.take([name("here")], 1, at(3_000), at(3_010)), "a listed domain applies");
+    set.apply([name("there")], 0, at(1_000), at(1_010));
+    assert!(!set.apply([], 1, at(2_000), at(2_010)), "a missing domain may be written again");
+    assert!(set.apply([name("here")], 1, at(3_000), at(3_010)), "a listed domain applies");
     assert_eq!(set.domains().len(), 2);
-    assert!(set.take([], 1, at(7_100), at(7_110)));
-    assert!(!set.take([name("there")], 0, at(7_200), at(7_210)), "knowledge of the last epoch");
+    assert!(set.apply([], 1, at(7_100), at(7_110)));
+    assert!(!set.apply([name("there")], 0, at(7_200), at(7_210)), "knowledge of the last epoch");
 }
--- a/tests/relay/fixture.rs
+++ b/tests/relay/fixture.rs
@@ -53,9 +53,9 @@
         step_tokens: 2_048,
         stride: 46,
         step_ms: 0.925,
-        per_writer_ms: 0.00483,
+        per_stream_ms: 0.00483,
         context_ms_per_k: 0.00254,
-        read_per_s: 256_000.0,
+        prefill_per_s: 256_000.0,
         pairs_ms_per_m: 0.0917,
     })
 }
@@ -83,14 +83,14 @@
 }
 
 /// An update of a configuration in which everything is readable.
-pub fn config_news(revision: StoreRevision, config: RelayConfig) -> ConfigNews {
+pub fn config_update(revision: StoreRevision, config: RelayConfig) -> ConfigNews {
     ConfigNews { revision, config, unreadable: Vec::new() }
 }
 
 pub fn record(name: &str, number: u8) -> TargetRecord {
     TargetRecord {
         incarnation: name.into(),
-        born_ms: 0,
+        started_ms: 0,
         service: "engines".into(),
         address: ([10, 0, 0, number], 80).into(),
         failure_domain: "here".into(),
@@ -104,7 +104,7 @@
 pub fn engines(count: u8) -> TargetSet {
     let mut set = TargetSet::default();
     let records = (0..count).map(|number| record(&format!("e{number}"), number)).collect();
-    set.take_list(records, false, at(0));
+    set.apply_list(records, false, at(0));
     for target in set.iter_mut() {
         target.set_rates(&rates(), OBSERVER);
     }
@@ -119,12 +119,12 @@
     StreamLoad {
         prefill_us: 20_000,
         tokens: 5_000,
-        is_part: false,
+        is_shard: false,
         context: 5_800,
         memory: 6_600,
         passes: 35,
         waited_us: 0,
-        start_us: 0,
+        first_event_us: 0,
         first_event_limit_us: 300_000,
         longest_pause_us: 200_000,
         value: 1.5,
@@ -133,12 +133,12 @@
 
 /// Load on an engine that prefills one of `shards` shards of a prompt and decodes the answer.
 pub fn shard_load(prompt: u64, shards: usize) -> StreamLoad {
-    need(prompt).to_load(rates().read_time(prompt), shards, 1, 20)
+    need(prompt).to_load(rates().prefill_time(prompt), shards, 1, 20)
 }
 
 /// Load on an engine that only prefills a shard.
 pub fn helper_load(prompt: u64, shards: usize) -> StreamLoad {
-    need(prompt).to_helper_load(rates().read_time(prompt), shards)
+    need(prompt).to_helper_load(rates().prefill_time(prompt), shards)
 }
 
 pub fn need(prompt: u64) -> PromptNeed {
@@ -149,9 +149,9 @@
     };
     let (first_limit, longest_pause) = (ms(first), ms(pause));
     PromptNeed {
-        prompt,
-        answer: 800,
-        first_limit,
+        prompt_tokens: prompt,
+        answer_tokens: 800,
+        first_event_limit: first_limit,
         waited: ms(0),
         time_left: ms(10_000),
         longest_pause,
--- a/tests/relay/list_news.rs
+++ b/tests/relay/list_news.rs
@@ -12,21 +12,21 @@
 use crate::fixture::{at, check, limits, name, record, revision};
 
 fn update(since: u64, until: u64) -> ListNews {
-    ListNews { since: revision(since), mark: revision(until), age_ms: 0, changes: Vec::new() }
+    ListNews { since: revision(since), revision: revision(until), age_ms: 0, changes: Vec::new() }
 }
 
 /// The state of an entry that knows all changes up to revision `number`.
 fn sync_at(number: u64) -> ListShare {
     let mut sync = ListShare::default();
-    sync.note_list(revision(number), revision(number));
+    sync.record_list(revision(number), revision(number));
     sync
 }
 
 /// The state of an entry that listens.
 fn listener_at(number: u64) -> ListShare {
     let mut sync = sync_at(number);
-    sync.note_agent(50, None, at(0));
-    assert!(sync.decide(1.0, 50, 0.0, at(1_000)));
+    sync.record_agent_report(50, None, at(0));
+    assert!(sync.decide_watching(1.0, 50, 0.0, at(1_000)));
     assert!(!sync.is_watching());
     sync
 }
@@ -39,7 +39,7 @@
 fn entry_with_two_targets() -> RelayCore {
     let mut core = RelayCore::new(limits(StalePolicy::FailClosed), 1);
     let both = target_list(5, vec![record("a", 1), record("b", 2)]);
-    let (_, update) = core.take_reread(both, false, at(0), at(0));
+    let (_, update) = core.apply_reread(both, false, at(0), at(0));
     assert_eq!(update, None, "the first list of a process is no change");
     core
 }
@@ -47,7 +47,7 @@
 /// The result of a watch from revision `since` on.
 fn watched(changes: Vec<TargetChange>, since: u64, until: u64, known_at: Tick) -> WatchedChanges {
     let changes = changes.into_iter().map(|change| (revision(until), change)).collect();
-    WatchedChanges { changes, since: revision(since), mark: revision(until), known_at }
+    WatchedChanges { changes, since: revision(since), revision: revision(until), known_at }
 }
 
 /// Guards against this failure: an entry receives changes from another entry before its own watch
@@ -59,19 +59,19 @@
     let (mut first, mut other_watcher, mut other) =
         (entry_with_two_targets(), entry_with_two_targets(), entry_with_two_targets());
     let removed = vec![TargetChange::Removed(name("b"))];
-    let (_, update) = first.take_watched(watched(removed, 5, 9, at(90)), false, at(100));
+    let (_, update) = first.apply_watched(watched(removed, 5, 9, at(90)), false, at(100));
     let update = update.unwrap();
-    other_watcher.take_list_news(&update, false, at(101));
+    other_watcher.apply_list_update(&update, false, at(101));
     let repeated = vec![TargetChange::Removed(name("b"))];
-    let (_, repeated) = other_watcher.take_watched(watched(repeated, 5, 9, at(90)), false, at(102));
+    let (_, repeated) = other_watcher.apply_watched(watched(repeated, 5, 9, at(90)), false, at(102));
     assert_eq!(repeated, None, "the first watcher has announced it");
     let listed = vec![TargetChange::Listed(record("c", 3))];
-    let (_, later) = other_watcher.take_watched(watched(listed, 9, 12, at(190)), false, at(200));
+    let (_, later) = other_watcher.apply_watched(watched(listed, 9, 12, at(190)), false, at(200));
     let later = later.expect("changes of its own watch");
-    assert_eq!((later.since, later.mark), (revision(9), revision(12)));
-    assert!(other.take_list_news(&later, false, at(201)).is_empty(), "it missed the first update");
-    other.take_list_news(&update, false, at(202));
-    assert_eq!(other.take_list_news(&later, false, at(203)).added, [name("c")]);
+    assert_eq!((later.since, later.revision), (revision(9), revision(12)));
+    assert!(other.apply_list_update(&later, false, at(201)).is_empty(), "it missed the first update");
+    other.apply_list_update(&update, false, at(202));
+    assert_eq!(other.apply_list_update(&later, false, at(203)).added, [name("c")]);
 }
 
 /// After the delay between two answers of its watch, an entry sees changes that another has
@@ -82,17 +82,17 @@
     let (mut first, mut other_watcher) = (entry_with_two_targets(), entry_with_two_targets());
     let leaving = TargetRecord { is_leaving: true, ..record("a", 1) };
     let changes = vec![TargetChange::Listed(leaving.clone())];
-    let (_, update) = first.take_watched(watched(changes, 5, 8, at(90)), false, at(100));
-    other_watcher.take_list_news(&update.unwrap(), false, at(101));
+    let (_, update) = first.apply_watched(watched(changes, 5, 8, at(90)), false, at(100));
+    other_watcher.apply_list_update(&update.unwrap(), false, at(101));
     let changes = vec![
         (revision(8), TargetChange::Listed(leaving)),
         (revision(8), TargetChange::Removed(name("b"))),
         (revision(11), TargetChange::Listed(record("c", 3))),
     ];
     let (since, mark) = (revision(5), revision(11));
-    let all = WatchedChanges { changes, since, mark, known_at: at(90) };
-    let update = other_watcher.take_watched(all, false, at(2_000)).1.expect("it has later changes");
-    assert_eq!((update.since, update.mark), (revision(8), revision(11)));
+    let all = WatchedChanges { changes, since, revision: mark, known_at: at(90) };
+    let update = other_watcher.apply_watched(all, false, at(2_000)).1.expect("it has later changes");
+    assert_eq!((update.since, update.revision), (revision(8), revision(11)));
     let announced = [TargetChange::Removed(name("b")), TargetChange::Listed(record("c", 3))];
     assert_eq!(update.changes, announced);
 }
@@ -103,13 +103,13 @@
 #[test]
 fn catching_up_announces_no_change_to_others() {
     let mut sync = listener_at(10);
-    sync.note_agent(3, Some(revision(11)), at(2_000));
-    sync.note_caught_up(revision(40));
+    sync.record_agent_report(3, Some(revision(11)), at(2_000));
+    sync.record_caught_up(revision(40));
     assert!(!sync.is_behind(at(9_000)));
-    assert_eq!((sync.mark(), sync.known()), (revision(10), revision(40)));
-    assert_eq!(sync.take_news(&update(10, 12), at(9_000)), NewsVerdict::Known);
+    assert_eq!((sync.changed_at(), sync.known_up_to()), (revision(10), revision(40)));
+    assert_eq!(sync.apply_update(&update(10, 12), at(9_000)), NewsVerdict::Known);
     assert_eq!(
-        sync.take_news(&update(12, 41), at(9_000)),
+        sync.apply_update(&update(12, 41), at(9_000)),
         NewsVerdict::Next,
         "it continues from the known revision"
     );
@@ -122,10 +122,10 @@
 fn a_revision_that_was_not_announced_is_not_reported() {
     let mut core = entry_with_two_targets();
     let removed = vec![TargetChange::Removed(name("b"))];
-    core.take_watched(watched(removed, 5, 9, at(90)), false, at(100));
-    assert_eq!(core.list_share().mark(), revision(9));
+    core.apply_watched(watched(removed, 5, 9, at(90)), false, at(100));
+    assert_eq!(core.list_share().changed_at(), revision(9));
     assert_eq!(core.list_share().announced(), revision(5));
-    core.note_list_announced(revision(9));
+    core.record_list_announced(revision(9));
     assert_eq!(core.list_share().announced(), revision(9));
 }
 
@@ -136,8 +136,8 @@
     let watching = |entries: usize, targets: usize| {
         let is_watching = |number: usize| {
             let mut sync = ListShare::default();
-            assert!(!sync.begin(0, 0.0, at(0)), "nothing is listed yet");
-            sync.begin(targets, (number as f64 + 0.5) / entries as f64, at(300));
+            assert!(!sync.choose_initial_watchers(0, 0.0, at(0)), "nothing is listed yet");
+            sync.choose_initial_watchers(targets, (number as f64 + 0.5) / entries as f64, at(300));
             sync.is_watching()
         };
         (0..entries).filter(|number| is_watching(*number)).count()
@@ -151,30 +151,30 @@
 #[test]
 fn updates_are_applied_in_order_and_once() {
     let mut sync = sync_at(10);
-    assert_eq!(sync.take_news(&update(10, 12), at(0)), NewsVerdict::Next);
-    assert_eq!(sync.take_news(&update(10, 12), at(0)), NewsVerdict::Known);
-    assert_eq!(sync.take_news(&update(11, 14), at(0)), NewsVerdict::Next, "they overlap");
-    assert_eq!(sync.take_news(&update(8, 13), at(0)), NewsVerdict::Known, "late update");
-    assert_eq!(sync.mark(), revision(14));
+    assert_eq!(sync.apply_update(&update(10, 12), at(0)), NewsVerdict::Next);
+    assert_eq!(sync.apply_update(&update(10, 12), at(0)), NewsVerdict::Known);
+    assert_eq!(sync.apply_update(&update(11, 14), at(0)), NewsVerdict::Next, "they overlap");
+    assert_eq!(sync.apply_update(&update(8, 13), at(0)), NewsVerdict::Known, "late update");
+    assert_eq!(sync.changed_at(), revision(14));
 }
 
 #[test]
 fn missed_updates_cause_a_read_of_the_list() {
     let mut sync = listener_at(10);
-    assert_eq!(sync.take_news(&update(12, 14), at(2_000)), NewsVerdict::Gap);
+    assert_eq!(sync.apply_update(&update(12, 14), at(2_000)), NewsVerdict::Gap);
     assert!(!sync.is_behind(at(2_100)), "copies may arrive through other agents");
     assert!(sync.is_behind(at(2_200)));
-    sync.note_list(revision(15), revision(9));
+    sync.record_list(revision(15), revision(9));
     assert!(!sync.is_behind(at(2_300)));
-    assert_eq!(sync.mark(), revision(14), "announced changes are in a list of a later revision");
+    assert_eq!(sync.changed_at(), revision(14), "announced changes are in a list of a later revision");
 }
 
 #[test]
 fn a_revision_reported_by_agents_reveals_lost_updates() {
     let mut sync = listener_at(10);
-    sync.note_agent(3, Some(revision(11)), at(2_000));
+    sync.record_agent_report(3, Some(revision(11)), at(2_000));
     assert!(sync.is_behind(at(2_200)));
-    assert_eq!(sync.take_news(&update(10, 11), at(2_210)), NewsVerdict::Next);
+    assert_eq!(sync.apply_update(&update(10, 11), at(2_210)), NewsVerdict::Next);
     assert!(!sync.is_behind(at(2_300)));
 }
 
@@ -183,7 +183,7 @@
 #[test]
 fn a_hung_watch_is_noticed_by_the_reports_of_agents() {
     let mut sync = sync_at(10);
-    sync.note_agent(3, Some(revision(11)), at(2_000));
+    sync.record_agent_report(3, Some(revision(11)), at(2_000));
     assert!(sync.is_watching());
     assert!(!sync.is_behind(at(4_000)), "its watch may be delayed between two answers");
     assert!(sync.is_behind(at(4_600)));
@@ -192,7 +192,7 @@
 #[test]
 fn an_entry_that_learns_of_no_watcher_watches() {
     let mut sync = listener_at(10);
-    assert!(sync.decide(1.0, 50, 0.99, at(2_500)), "no agent reported a watcher");
+    assert!(sync.decide_watching(1.0, 50, 0.99, at(2_500)), "no agent reported a watcher");
     assert!(sync.is_watching());
 }
 
@@ -201,10 +201,10 @@
 #[test]
 fn few_of_many_watchers_announce() {
     let mut sync = sync_at(10);
-    assert!(!sync.tells(0.0), "it does not know the number of watchers yet");
-    sync.note_agent(99, None, at(0));
-    sync.decide(1.0, 100, 0.99, at(1_000));
-    let announced = (0..100).filter(|jitter| sync.tells(f64::from(*jitter) / 100.0)).count();
+    assert!(!sync.should_announce(0.0), "it does not know the number of watchers yet");
+    sync.record_agent_report(99, None, at(0));
+    sync.decide_watching(1.0, 100, 0.99, at(1_000));
+    let announced = (0..100).filter(|jitter| sync.should_announce(f64::from(*jitter) / 100.0)).count();
     assert_eq!(announced, 8);
 }
 
@@ -212,8 +212,8 @@
 fn all_entries_of_a_small_fleet_watch() {
     for others in 0..12 {
         let mut sync = sync_at(10);
-        sync.note_agent(others, None, at(0));
-        assert!(!sync.decide(1.0, 13, 0.0, at(1_000)), "{others} others");
+        sync.record_agent_report(others, None, at(0));
+        assert!(!sync.decide_watching(1.0, 13, 0.0, at(1_000)), "{others} others");
     }
 }
 
@@ -238,9 +238,9 @@
             let watchers = syncs.iter().filter(|sync| sync.is_watching()).count();
             for (number, sync) in syncs.iter_mut().enumerate() {
                 let others = watchers - usize::from(sync.is_watching());
-                sync.note_agent(others as u32, None, at(second * 1_000));
+                sync.record_agent_report(others as u32, None, at(second * 1_000));
                 let jitter = jitter(number * 41 + second as usize);
-                sync.decide(1.0, ENTRIES, jitter, at(second * 1_000));
+                sync.decide_watching(1.0, ENTRIES, jitter, at(second * 1_000));
             }
         }
         let watchers = syncs.iter().filter(|sync| sync.is_watching()).count();
@@ -254,11 +254,11 @@
     let (mut watcher, mut other) = (entry_with_two_targets(), entry_with_two_targets());
     let leaving = TargetRecord { is_leaving: true, ..record("a", 1) };
     let changes = vec![TargetChange::Listed(leaving), TargetChange::Removed(name("b"))];
-    let (change, update) = watcher.take_watched(watched(changes, 5, 9, at(90)), false, at(100));
-    assert_eq!(other.take_list_news(&update.clone().unwrap(), false, at(102)), change);
+    let (change, update) = watcher.apply_watched(watched(changes, 5, 9, at(90)), false, at(100));
+    assert_eq!(other.apply_list_update(&update.clone().unwrap(), false, at(102)), change);
     assert!(!other.targets.get("a").unwrap().is_usable(at(103)));
     assert!(other.targets.get("b").is_none());
-    assert_eq!(other.take_list_news(&update.unwrap(), false, at(103)).removed, [], "a second copy");
+    assert_eq!(other.apply_list_update(&update.unwrap(), false, at(103)).removed, [], "a second copy");
 }
 
 /// Guards against this failure: the store turns away two of five entries. One of them announces a
@@ -269,9 +269,9 @@
     let (mut turned_away, mut other) = (entry_with_two_targets(), entry_with_two_targets());
     let changes = vec![TargetChange::Removed(name("b"))];
     let (change, update) =
-        turned_away.take_watched(watched(changes, 5, 9, at(13_000)), true, at(13_070));
+        turned_away.apply_watched(watched(changes, 5, 9, at(13_000)), true, at(13_070));
     assert_eq!(change.removed, [], "it may come back");
-    let change = other.take_list_news(&update.unwrap(), false, at(13_072));
+    let change = other.apply_list_update(&update.unwrap(), false, at(13_072));
     assert_eq!(change.removed, [name("b")]);
 }
 
@@ -281,10 +281,10 @@
 fn the_grace_period_of_a_removal_starts_with_the_list_at_all_entries() {
     let (mut watcher, mut other) = (entry_with_two_targets(), entry_with_two_targets());
     let changes = vec![TargetChange::Removed(name("b"))];
-    let (_, update) = watcher.take_watched(watched(changes, 5, 9, at(12_500)), true, at(13_000));
+    let (_, update) = watcher.apply_watched(watched(changes, 5, 9, at(12_500)), true, at(13_000));
     let update = update.expect("a target is gone");
     assert_eq!(update.age_ms, 500);
-    assert!(other.take_list_news(&update, true, at(13_100)).is_empty(), "it may come back");
+    assert!(other.apply_list_update(&update, true, at(13_100)).is_empty(), "it may come back");
     for core in [&mut watcher, &mut other] {
         assert_eq!(core.expire_targets(at(14_000)).removed, []);
     }
@@ -298,11 +298,11 @@
 #[test]
 fn a_removal_found_by_a_read_advances_the_announced_revision() {
     let mut watcher = entry_with_two_targets();
-    watcher.note_list(revision(9), revision(5));
-    let change = watcher.take_list(vec![record("a", 1)], false, at(3_000));
+    watcher.record_list(revision(9), revision(5));
+    let change = watcher.apply_list(vec![record("a", 1)], false, at(3_000));
     assert_eq!(change.removed, [name("b")]);
     let mut other = listener_at(5);
-    other.note_agent(7, Some(watcher.list_share().mark()), at(3_100));
+    other.record_agent_report(7, Some(watcher.list_share().changed_at()), at(3_100));
     assert!(other.is_behind(at(3_300)), "it has to read the list as well");
 }
 
@@ -310,12 +310,12 @@
 #[test]
 fn a_removal_that_becomes_final_later_advances_the_announced_revision() {
     let mut watcher = entry_with_two_targets();
-    watcher.note_list(revision(9), revision(5));
-    let change = watcher.take_list(vec![record("a", 1)], true, at(3_000));
+    watcher.record_list(revision(9), revision(5));
+    let change = watcher.apply_list(vec![record("a", 1)], true, at(3_000));
     assert_eq!(change.removed, [], "it may come back");
-    assert_eq!(watcher.list_share().mark(), revision(5));
+    assert_eq!(watcher.list_share().changed_at(), revision(5));
     assert_eq!(watcher.expire_targets(at(5_000)).removed, [name("b")]);
-    assert_eq!(watcher.list_share().mark(), revision(9));
+    assert_eq!(watcher.list_share().changed_at(), revision(9));
 }
 
 /// Other entries need not read the list either, if one entry can announce what changed.
@@ -323,12 +323,12 @@
 fn changes_found_by_a_read_apply_at_another_entry() {
     let (mut watcher, mut other) = (entry_with_two_targets(), entry_with_two_targets());
     let (_, update) =
-        watcher.take_reread(target_list(9, vec![record("a", 1)]), false, at(0), at(3_000));
+        watcher.apply_reread(target_list(9, vec![record("a", 1)]), false, at(0), at(3_000));
     let update = update.expect("a target is gone");
-    assert_eq!((update.since, update.mark), (revision(5), revision(9)));
-    assert_eq!(other.take_list_news(&update, false, at(3_001)).removed, [name("b")]);
+    assert_eq!((update.since, update.revision), (revision(5), revision(9)));
+    assert_eq!(other.apply_list_update(&update, false, at(3_001)).removed, [name("b")]);
     let (_, update) =
-        watcher.take_reread(target_list(12, vec![record("a", 1)]), false, at(3_000), at(4_000));
+        watcher.apply_reread(target_list(12, vec![record("a", 1)]), false, at(3_000), at(4_000));
     assert_eq!(update, None, "nothing changed");
 }
 
@@ -337,8 +337,8 @@
     let changes = (0..10)
         .map(|number| TargetChange::Listed(record(&format!("i-0123456789{number}"), number)));
     let update =
-        ListNews { since: revision(1), mark: revision(2), age_ms: 0, changes: changes.collect() };
-    let message = LoadNote::ListChanged(update);
+        ListNews { since: revision(1), revision: revision(2), age_ms: 0, changes: changes.collect() };
+    let message = LoadNote::TargetListChanged(update);
     let bytes = message.to_bytes().unwrap();
     assert!(bytes.len() <= MAX_NOTE, "{} bytes", bytes.len());
     assert_eq!(LoadNote::from_bytes(&bytes).unwrap(), message);
--- a/tests/relay/note_parts.rs
+++ b/tests/relay/note_parts.rs
@@ -13,7 +13,7 @@
 fn release(count: u16) -> LoadNote {
     let listed = |number: u16| TargetChange::Listed(record(&format!("i-0123456789{number}"), 1));
     let changes = (0..count).map(listed).collect();
-    LoadNote::ListChanged(ListNews { since: revision(1), mark: revision(2), age_ms: 0, changes })
+    LoadNote::TargetListChanged(ListNews { since: revision(1), revision: revision(2), age_ms: 0, changes })
 }
 
 fn split(message: &LoadNote, id: u64) -> Vec<MessageFragment> {
@@ -35,7 +35,7 @@
         let fragments = split(&message, 7);
         assert!(fragments.len() > 1);
         for fragment in &fragments {
-            let bytes = LoadNote::Part(fragment.clone()).to_bytes().unwrap();
+            let bytes = LoadNote::Fragment(fragment.clone()).to_bytes().unwrap();
             assert!(bytes.len() <= MAX_NOTE, "{} bytes", bytes.len());
         }
         assert_eq!(join(fragments), [message]);
@@ -109,11 +109,11 @@
         let entry = number.into();
         let message =
             LoadNote::Subscribe { entry, proof_age_ms: None, list_mark: None, config_mark: None };
-        set.on_note(&message, address(number), 100, at(0));
+        set.on_message(&message, address(number), 100, at(0));
     }
-    let fragment = LoadNote::Part(split(&release(40), 7).remove(0));
-    let mut out = set.on_note(&fragment, address(1), 100, at(1));
+    let fragment = LoadNote::Fragment(split(&release(40), 7).remove(0));
+    let mut out = set.on_message(&fragment, address(1), 100, at(1));
     out.sort_by_key(|out| out.to);
     assert_eq!(out.iter().map(|out| out.to).collect::<Vec<_>>(), [address(2), address(3)]);
-    assert!(out.iter().all(|out| out.note == fragment));
+    assert!(out.iter().all(|out| out.message == fragment));
 }
--- a/tests/relay/notes.rs
+++ b/tests/relay/notes.rs
@@ -14,7 +14,7 @@
 
 fn placed(entry: u64, number: u64) -> LoadNote {
     let key = StreamKey { entry, number };
-    LoadNote::Placed { target: name("t"), key, load: short_load() }
+    LoadNote::StreamPlaced { target: name("t"), key, load: short_load() }
 }
 
 fn subscribe(set: &mut SubscriberSet, number: u8, millis: u64) -> Vec<NoteOut> {
@@ -24,7 +24,7 @@
         list_mark: None,
         config_mark: None,
     };
-    set.on_note(&message, entry(number), 100, at(millis))
+    set.on_message(&message, entry(number), 100, at(millis))
 }
 
 #[test]
@@ -32,10 +32,10 @@
     let mut set = SubscriberSet::default();
     subscribe(&mut set, 1, 0);
     subscribe(&mut set, 2, 0);
-    let out = set.on_note(&placed(1, 7), entry(1), 100, at(1));
-    assert_eq!(out, [NoteOut { to: entry(2), note: placed(1, 7) }]);
+    let out = set.on_message(&placed(1, 7), entry(1), 100, at(1));
+    assert_eq!(out, [NoteOut { to: entry(2), message: placed(1, 7) }]);
     let out = subscribe(&mut set, 3, 2);
-    assert!(out.contains(&NoteOut { to: entry(3), note: placed(1, 7) }));
+    assert!(out.contains(&NoteOut { to: entry(3), message: placed(1, 7) }));
     assert_eq!(subscribe(&mut set, 3, 3).len(), 1, "streams are sent once");
 }
 
@@ -43,10 +43,10 @@
 fn an_expired_entry_is_dropped_with_its_streams() {
     let mut set = SubscriberSet::default();
     subscribe(&mut set, 1, 0);
-    set.on_note(&placed(1, 7), entry(1), 100, at(1));
+    set.on_message(&placed(1, 7), entry(1), 100, at(1));
     subscribe(&mut set, 2, 2_400);
     let gone = LoadNote::EntryGone { target: name("t"), entry: 1 };
-    assert_eq!(set.expire(at(2_600)), [NoteOut { to: entry(2), note: gone }]);
+    assert_eq!(set.expire(at(2_600)), [NoteOut { to: entry(2), message: gone }]);
     assert!(!set.is_busy());
 }
 
@@ -55,19 +55,19 @@
     let mut set = SubscriberSet::default();
     subscribe(&mut set, 1, 0);
     subscribe(&mut set, 2, 0);
-    set.on_note(&placed(1, 7), entry(1), 100, at(1));
+    set.on_message(&placed(1, 7), entry(1), 100, at(1));
     let message =
         LoadNote::Subscribe { entry: 9, proof_age_ms: None, list_mark: None, config_mark: None };
-    let out = set.on_note(&message, entry(1), 100, at(10));
+    let out = set.on_message(&message, entry(1), 100, at(10));
     let gone = LoadNote::EntryGone { target: name("t"), entry: 1 };
-    assert!(out.contains(&NoteOut { to: entry(2), note: gone }));
+    assert!(out.contains(&NoteOut { to: entry(2), message: gone }));
 }
 
 #[test]
 fn a_message_fits_a_datagram() {
     let long = "i".repeat(64);
     let key = StreamKey { entry: u64::MAX, number: u64::MAX };
-    let message = LoadNote::Placed { target: name(&long), key, load: short_load() };
+    let message = LoadNote::StreamPlaced { target: name(&long), key, load: short_load() };
     let bytes = message.to_bytes().unwrap();
     assert!(bytes.len() < MAX_NOTE);
     assert_eq!(LoadNote::from_bytes(&bytes).unwrap(), message);
@@ -92,10 +92,10 @@
         list_mark: None,
         config_mark: None,
     };
-    set.on_note(&proof(1, Some(300)), entry(1), 100, at(1_000));
-    set.on_note(&proof(2, None), entry(2), 100, at(1_000));
-    let out = set.on_note(&proof(3, Some(10)), entry(3), 100, at(1_200));
-    let LoadNote::Welcome { proof_age_ms, .. } = out[0].note else {
+    set.on_message(&proof(1, Some(300)), entry(1), 100, at(1_000));
+    set.on_message(&proof(2, None), entry(2), 100, at(1_000));
+    let out = set.on_message(&proof(3, Some(10)), entry(3), 100, at(1_200));
+    let LoadNote::SubscriptionAck { proof_age_ms, .. } = out[0].message else {
         panic!("not an acknowledgement")
     };
     assert_eq!(proof_age_ms, Some(500));
--- a/tests/relay/pass_model.rs
+++ b/tests/relay/pass_model.rs
@@ -127,7 +127,7 @@
     model.advance(at(200));
     let delay_cost = shard_delay_cost(&model, &helper_load(200_040, 2), 200);
     assert!(delay_cost > first.value * 0.7, "the prompt is late by the shard: {delay_cost}");
-    let started_late = StreamLoad { start_us: 2_700_000, first_event_limit_us: 9_000_000, ..first };
+    let started_late = StreamLoad { first_event_us: 2_700_000, first_event_limit_us: 9_000_000, ..first };
     let mut model = PassModel::new(rates(), OBSERVER);
     model.add(key(1), started_late, at(0));
     model.advance(at(200));
@@ -144,7 +144,7 @@
 fn a_due_pass_is_not_over_before_its_events_arrive() {
     let mut model = model_with_streams(8);
     model.advance(at(1_000));
-    model.note_pass(at(1_010));
+    model.record_pass_end(at(1_010));
     let nothing = StreamLoad { prefill_us: 0, tokens: 0, ..short_load() };
     let length = model.forecast(&nothing, at(1_010)).steady_pass;
     let prefill = StreamLoad { prefill_us: 80_000, passes: 0, ..short_load() };
@@ -153,7 +153,7 @@
     model.advance(late);
     let before = model.forecast(&prefill, late);
     assert!(before.time_to_prefill >= length + ms(150), "the first prefill is not finished yet");
-    model.note_pass(late + ms(1));
+    model.record_pass_end(late + ms(1));
     let after = model.forecast(&prefill, late + ms(2));
     assert!(after.time_to_prefill < length * 2 + ms(170), "the first prefill is in progress");
 }
@@ -164,14 +164,14 @@
 #[test]
 fn a_prefill_does_not_finish_in_a_pass_that_is_too_short_for_it() {
     let mut model = model_with_streams(1);
-    model.note_pass(at(205));
+    model.record_pass_end(at(205));
     model.add(key(100), helper_load(600_000, 10), at(230));
-    model.note_pass(at(235));
-    model.note_pass(at(280));
+    model.record_pass_end(at(235));
+    model.record_pass_end(at(280));
     let left_ms = time_to_prefill_ms(&mut model, &short_load(), 281);
     assert!(left_ms > 1_000, "predicted {left_ms} ms while the engine prefills the shard");
     let count = model.len();
-    model.note_pass(at(280 + left_ms));
+    model.record_pass_end(at(280 + left_ms));
     assert_eq!(model.len(), count - 1, "the shard is prefilled now");
 }
 
@@ -179,13 +179,13 @@
 #[test]
 fn a_requeued_prefill_stays_behind_newer_shards() {
     let mut model = model_with_streams(1);
-    model.note_pass(at(205));
+    model.record_pass_end(at(205));
     model.add(key(100), helper_load(600_000, 10), at(230));
-    model.note_pass(at(235));
+    model.record_pass_end(at(235));
     model.add(key(101), helper_load(600_000, 10), at(240));
-    model.note_pass(at(280));
-    model.note_pass(at(2_000));
-    let time_left = model.time_to_read(key(101), at(2_001));
+    model.record_pass_end(at(280));
+    model.record_pass_end(at(2_000));
+    let time_left = model.time_to_prefill(key(101), at(2_001));
     assert!(time_left.is_zero(), "the newest shard goes first: {time_left:?}");
 }
 
@@ -225,10 +225,10 @@
     let mut model = model_with_streams(4);
     let large = StreamLoad { prefill_us: 400_000, passes: 0, ..short_load() };
     model.advance(at(300));
-    model.note_pass(at(300));
+    model.record_pass_end(at(300));
     model.add(key(100), large, at(301));
-    model.note_pass(at(350));
-    model.note_pass(at(800));
+    model.record_pass_end(at(350));
+    model.record_pass_end(at(800));
     assert!(model.forecast(&large, at(801)).delay_cost <= 0.0);
 }
 
@@ -236,7 +236,7 @@
 fn the_first_event_of_a_stream_shows_that_it_is_prefilled() {
     let mut model = PassModel::new(rates(), OBSERVER);
     model.add(key(1), shard_load(200_040, 1), at(0));
-    model.note_first(key(1), at(500));
+    model.record_first_event(key(1), at(500));
     model.advance(at(501));
     assert!(time_to_prefill_ms(&mut model, &short_load(), 501) < 200);
 }
@@ -257,9 +257,9 @@
     model.add(key(1), helper_load(200_040, 2), at(0));
     model.add(key(2), helper_load(200_040, 2), at(500));
     model.advance(at(1_000));
-    assert_near(model.time_to_read(key(1), at(1_000)).as_millis() as u64, 1_716);
+    assert_near(model.time_to_prefill(key(1), at(1_000)).as_millis() as u64, 1_716);
     model.advance(at(2_800));
-    assert!(model.time_to_read(key(1), at(2_800)).is_zero(), "the prompt is prefilled");
+    assert!(model.time_to_prefill(key(1), at(2_800)).is_zero(), "the prompt is prefilled");
 }
 
 #[test]
--- a/tests/relay/placement.rs
+++ b/tests/relay/placement.rs
@@ -19,7 +19,7 @@
     service: ServiceScope::of("engines"),
     failure_domain: "here",
     scope: TargetScope::Untried(&[]),
-    turn: TurnPolicy::AtOnce,
+    permit: TurnPolicy::Immediate,
     entry: 1,
     policy: &RelayPolicy::DEFAULT,
 };
@@ -86,9 +86,9 @@
     let set = engines(6);
     let need = need(900_000);
     let placement = place(&set, &need).unwrap();
-    let reserved: u64 = placement.seats.iter().map(|reservation| reservation.tokens).sum();
-    assert!(reserved + 405_000 >= need.prompt + need.answer);
-    assert!(placement.seats.iter().all(|seat| placement.helpers.contains(&seat.target)));
+    let reserved: u64 = placement.reservations.iter().map(|reservation| reservation.tokens).sum();
+    assert!(reserved + 405_000 >= need.prompt_tokens + need.answer_tokens);
+    assert!(placement.reservations.iter().all(|seat| placement.helpers.contains(&seat.target)));
 }
 
 #[test]
@@ -120,7 +120,7 @@
 fn a_late_prompt_is_served_if_no_other_request_loses_by_it() {
     let placement = late_placement(4);
     let need = need(50_000);
-    assert!(placement.first > need.first_limit);
+    assert!(placement.first_event > need.first_event_limit);
     assert_ne!(action(&placement, &need), PlacementAction::Refuse, "{placement:?}");
 }
 
@@ -136,9 +136,9 @@
 #[test]
 fn a_prompt_waits_while_this_saves_others_more_than_it_loses() {
     let need = need(210_000);
-    let placement = Placement { first: ms(500), harm: 6.0, own: 1.0, ..late_placement(1) };
+    let placement = Placement { first_event: ms(500), delay_cost: 6.0, own_loss: 1.0, ..late_placement(1) };
     assert_eq!(action(&placement, &need), PlacementAction::Wait);
-    assert_eq!(action(&Placement { harm: 0.1, ..placement }, &need), PlacementAction::Send);
+    assert_eq!(action(&Placement { delay_cost: 0.1, ..placement }, &need), PlacementAction::Send);
 }
 
 /// Regression: an admitted prompt waited and was then placed where it stalled the short streams
@@ -147,7 +147,7 @@
 fn a_prompt_that_waited_is_refused_if_it_costs_others_more_than_its_value() {
     let need = PromptNeed { waited: ms(400), ..need(210_000) };
     let harm = need.value() * 1.2;
-    let placement = Placement { first: ms(1_900), harm, own: 4.0, ..late_placement(1) };
+    let placement = Placement { first_event: ms(1_900), delay_cost: harm, own_loss: 4.0, ..late_placement(1) };
     assert_eq!(action(&placement, &need), PlacementAction::Refuse);
 }
 
@@ -155,9 +155,9 @@
 fn a_failing_target_is_ejected_unless_all_fail() {
     let mut set = engines(2);
     let fault = TargetFault::Broken;
-    assert!(set.get_mut("e0").unwrap().note_failure(fault, at(1_000)).is_some());
+    assert!(set.get_mut("e0").unwrap().record_failure(fault, at(1_000)).is_some());
     assert_eq!(place_call(&set, &ANY_QUERY, at(1_001)).unwrap().target, name("e1"));
-    assert!(set.get_mut("e1").unwrap().note_failure(fault, at(1_000)).is_some());
+    assert!(set.get_mut("e1").unwrap().record_failure(fault, at(1_000)).is_some());
     assert!(place_call(&set, &ANY_QUERY, at(1_001)).is_some());
 }
 
@@ -190,16 +190,16 @@
         let need = need(u64::from(prompt % 1_000_000) + 1);
         let Some(placement) = place(&set, &need) else { return true };
         let members: HashSet<_> = placement.helpers.iter().chain([&placement.target]).collect();
-        let reserved: u64 = placement.seats.iter().map(|reservation| reservation.tokens).sum();
+        let reserved: u64 = placement.reservations.iter().map(|reservation| reservation.tokens).sum();
         members.len() == placement.helpers.len() + 1
             && placement.helpers.len() <= RelayPolicy::DEFAULT.most_helpers
-            && placement.seats.len() <= placement.helpers.len()
+            && placement.reservations.len() <= placement.helpers.len()
             && placement
-                .seats
+                .reservations
                 .iter()
                 .zip(&placement.helpers)
                 .all(|(reservation, helper)| reservation.target == *helper)
-            && reserved + 450_000 >= need.prompt + need.answer
+            && reserved + 450_000 >= need.prompt_tokens + need.answer_tokens
     }
     check(property as fn(u8, Vec<(u8, u8)>, u32) -> bool);
 }
@@ -224,7 +224,7 @@
     let placement = place(&set, &need(300_000)).unwrap();
     // On the engine that decodes they share a pass, which spares them a pause.
     let gain = need(50_040).value() * 0.75;
-    assert!(placement.harm > -gain - 0.01, "{placement:?}");
+    assert!(placement.delay_cost > -gain - 0.01, "{placement:?}");
 }
 
 /// Regression: a sharded prompt was counted as late once for each engine that delayed one of
@@ -242,7 +242,7 @@
     }
     let placement = place(&set, &need(300_000)).unwrap();
     assert!(placement.helpers.len() >= 5, "{placement:?}");
-    assert!(placement.harm < need(400_000).value(), "{placement:?}");
+    assert!(placement.delay_cost < need(400_000).value(), "{placement:?}");
 }
 
 /// Answers that are decoded alone on many engines take half of the time of these engines while
@@ -264,7 +264,7 @@
             }
             model.advance(at(1_000));
         }
-        place(&set, &PromptNeed { first_limit: ms(30_000), ..need(30_000) }).unwrap()
+        place(&set, &PromptNeed { first_event_limit: ms(30_000), ..need(30_000) }).unwrap()
     };
     assert_eq!(place_medium(true).target, name("e3"));
     assert_ne!(
@@ -295,9 +295,9 @@
 #[test]
 fn an_admitted_prompt_is_not_refused_in_favour_of_later_arrivals() {
     let placement = |cost_to_future| Placement {
-        claim: cost_to_future,
-        own: 5.0,
-        harm: 3.0,
+        opportunity_cost: cost_to_future,
+        own_loss: 5.0,
+        delay_cost: 3.0,
         ..place(&engines(6), &need(400_000)).unwrap()
     };
     let arriving = need(400_000);
@@ -305,7 +305,7 @@
     let costly = placement(arriving.value());
     assert_eq!(action(&costly, &arriving), PlacementAction::Refuse);
     assert_ne!(action(&costly, &waiting), PlacementAction::Refuse);
-    let delaying = Placement { harm: arriving.value(), ..placement(0.0) };
+    let delaying = Placement { delay_cost: arriving.value(), ..placement(0.0) };
     assert_eq!(
         action(&delaying, &waiting),
         PlacementAction::Refuse,
@@ -319,7 +319,7 @@
 fn a_prompt_waits_no_longer_than_its_first_event_limit() {
     let arriving = need(400_000);
     let placement =
-        Placement { own: 30.0, harm: 8.0, claim: 0.0, ..place(&engines(6), &arriving).unwrap() };
+        Placement { own_loss: 30.0, delay_cost: 8.0, opportunity_cost: 0.0, ..place(&engines(6), &arriving).unwrap() };
     let waiting = |waited| PromptNeed { waited: ms(waited), is_admitted: true, ..arriving };
     assert_eq!(action(&placement, &waiting(1_000)), PlacementAction::Wait);
     assert_eq!(action(&placement, &waiting(3_000)), PlacementAction::Send);
--- a/tests/relay/proofs.rs
+++ b/tests/relay/proofs.rs
@@ -20,7 +20,7 @@
 /// An entry that proved revision `at_revision` by a read sent at `proven_at`.
 fn entry(number: u64, at_revision: u64, proven_at: Tick) -> RelayCore {
     let mut core = RelayCore::new(limits(StalePolicy::FailClosed), number);
-    core.take_config(
+    core.apply_config(
         Some(RelayConfig { version: at_revision, ..RelayConfig::default() }),
         proven_at,
     );
@@ -30,7 +30,7 @@
 
 /// Reports to `core` that the peer proved its configuration `age` before `now`.
 fn report_peer(core: &mut RelayCore, age: u32, now: Tick) {
-    let message = LoadNote::Welcome {
+    let message = LoadNote::SubscriptionAck {
         target: name("t"),
         entries: 2,
         pace_percent: 100,
@@ -40,19 +40,19 @@
         list_mark: None,
         config_mark: None,
     };
-    core.take_note(message, now);
+    core.apply_message(message, now);
 }
 
 fn send_query(core: &mut RelayCore, now: Tick) -> u64 {
-    let (address, message) = core.ask_proof(now).expect("a query");
+    let (address, message) = core.request_proof(now).expect("a query");
     assert_eq!(address, peer());
-    let LoadNote::AskProof { nonce } = message else { panic!("not a query: {message:?}") };
+    let LoadNote::QueryProof { nonce } = message else { panic!("not a query: {message:?}") };
     nonce
 }
 
 fn answer(peer: &RelayCore, nonce: u64, now: Tick) -> Option<PeerProof> {
-    let LoadNote::TellProof { nonce, revision, config_digest, proof_age_ms, evacuated } =
-        peer.tell_proof(nonce, now)?
+    let LoadNote::AnswerProof { nonce, revision, config_digest, proof_age_ms, evacuated } =
+        peer.answer_proof_request(nonce, now)?
     else {
         panic!("not an answer")
     };
@@ -66,7 +66,7 @@
     report_peer(&mut core, 1_000, at(10_000));
     let nonce = send_query(&mut core, at(10_000));
     let proof = answer(&other, nonce, at(10_002)).unwrap();
-    assert_eq!(core.take_proof(&proof, at(10_003)), PeerVerdict::ProvenAt(at(10_000) - proof.age));
+    assert_eq!(core.apply_proof(&proof, at(10_003)), PeerVerdict::ProvenAt(at(10_000) - proof.age));
     assert_eq!(core.lease().proven_at(), Some(at(8_997)));
 }
 
@@ -78,10 +78,10 @@
     let nonce = send_query(&mut core, at(10_000));
     let proof = answer(&other, nonce, at(10_002)).unwrap();
     let forged = PeerProof { nonce: nonce ^ 1, age: Duration::ZERO, ..proof.clone() };
-    assert_eq!(core.take_proof(&forged, at(10_003)), PeerVerdict::Useless);
-    assert_ne!(core.take_proof(&proof, at(10_003)), PeerVerdict::Useless);
+    assert_eq!(core.apply_proof(&forged, at(10_003)), PeerVerdict::Useless);
+    assert_ne!(core.apply_proof(&proof, at(10_003)), PeerVerdict::Useless);
     assert_eq!(
-        core.take_proof(&proof, at(10_003)),
+        core.apply_proof(&proof, at(10_003)),
         PeerVerdict::Useless,
         "an answer that comes twice"
     );
@@ -94,7 +94,7 @@
     report_peer(&mut core, 1_000, at(10_000));
     let nonce = send_query(&mut core, at(10_000));
     let proof = answer(&other, nonce, at(10_002)).unwrap();
-    assert_eq!(core.take_proof(&proof, at(10_003)), PeerVerdict::Behind);
+    assert_eq!(core.apply_proof(&proof, at(10_003)), PeerVerdict::Behind);
     assert_eq!(core.lease().proven_at(), Some(at(7_000)));
 }
 
@@ -105,32 +105,32 @@
     report_peer(&mut core, 1_000, at(10_000));
     let nonce = send_query(&mut core, at(10_000));
     let proof = answer(&other, nonce, at(10_002)).unwrap();
-    assert!(matches!(core.take_proof(&proof, at(10_003)), PeerVerdict::ProvenAt(_)));
+    assert!(matches!(core.apply_proof(&proof, at(10_003)), PeerVerdict::ProvenAt(_)));
 }
 
 #[test]
 fn a_peer_is_queried_once_and_only_for_a_sufficiently_newer_proof() {
     let mut core = entry(1, 5, at(9_000));
     report_peer(&mut core, 500, at(10_000));
-    assert_eq!(core.ask_proof(at(10_000)), None, "only half a second newer");
+    assert_eq!(core.request_proof(at(10_000)), None, "only half a second newer");
     let mut core = entry(1, 5, at(7_000));
     report_peer(&mut core, 500, at(10_000));
     send_query(&mut core, at(10_000));
-    assert_eq!(core.ask_proof(at(10_010)), None);
+    assert_eq!(core.request_proof(at(10_010)), None);
 }
 
 #[test]
 fn an_entry_without_a_proof_does_not_answer() {
-    assert!(entry(2, 5, at(1_000)).tell_proof(7, at(6_000)).is_none());
+    assert!(entry(2, 5, at(1_000)).answer_proof_request(7, at(6_000)).is_none());
 }
 
 /// A process that has just started can not represent a time before its start.
 #[test]
 fn a_proof_from_before_the_start_of_the_process_is_rejected() {
     let mut sync = ProofShare::default();
-    sync.note_source(peer(), at(900));
+    sync.record_source(peer(), at(900));
     let nonce = 7;
-    sync.ask(nonce, at(0), at(950)).unwrap();
+    sync.next_query(nonce, at(0), at(950)).unwrap();
     let proof = PeerProof {
         nonce,
         revision: revision(5),
@@ -138,7 +138,7 @@
         age: ms(1_000),
         evacuated: Vec::new(),
     };
-    assert_eq!(sync.take_answer(&proof, revision(5)), PeerVerdict::Useless);
+    assert_eq!(sync.apply_answer(&proof, revision(5)), PeerVerdict::Useless);
 }
 
 /// Guards against this failure: entries that the store turns away while keys are revoked reject
@@ -150,9 +150,9 @@
     report_peer(&mut core, 1_000, at(9_700));
     let nonce = send_query(&mut core, at(9_700));
     let proof = answer(&other, nonce, at(9_702)).unwrap();
-    assert_eq!(core.take_proof(&proof, at(10_003)), PeerVerdict::Behind);
+    assert_eq!(core.apply_proof(&proof, at(10_003)), PeerVerdict::Behind);
     let bytes = other.config_copy().unwrap().to_bytes().unwrap();
-    assert!(core.take_copy(&ConfigCopy::from_bytes(&bytes).unwrap(), at(0)));
+    assert!(core.apply_copy(&ConfigCopy::from_bytes(&bytes).unwrap(), at(0)));
     assert_eq!((core.rules().version(), core.config_revision()), (6, revision(6)));
     assert_eq!(core.lease().proven_at(), Some(at(9_700) - proof.age));
 }
@@ -164,11 +164,11 @@
     let mut core = entry(1, 5, at(5_000));
     report_peer(&mut core, 1_000, at(9_700));
     let nonce = send_query(&mut core, at(9_700));
-    core.take_proof(&answer(&other, nonce, at(9_702)).unwrap(), at(9_703));
-    assert!(core.take_copy(&late.config_copy().unwrap(), at(0)), "a later version applies");
+    core.apply_proof(&answer(&other, nonce, at(9_702)).unwrap(), at(9_703));
+    assert!(core.apply_copy(&late.config_copy().unwrap(), at(0)), "a later version applies");
     assert_eq!(core.lease().proven_at(), Some(at(5_000)));
     assert!(
-        !core.take_copy(&entry(3, 6, at(9_000)).config_copy().unwrap(), at(0)),
+        !core.apply_copy(&entry(3, 6, at(9_000)).config_copy().unwrap(), at(0)),
         "an earlier version does not apply"
     );
     assert_eq!(core.rules().version(), 7);
@@ -180,7 +180,7 @@
 fn a_store_that_does_not_answer_is_probed_by_a_few_entries() {
     let count_probes = |entries: usize| {
         let samples = (0..1_000).map(|jitter| f64::from(jitter) / 1_000.0);
-        samples.filter(|jitter| ProofShare::probes(entries, *jitter)).count()
+        samples.filter(|jitter| ProofShare::should_probe(entries, *jitter)).count()
     };
     assert_eq!(count_probes(1), 1_000, "a single entry always probes");
     assert_eq!(count_probes(16), 1_000);
@@ -212,7 +212,7 @@
         let nonce = send_query(&mut core, asked_at);
         let Some(proof) = answer(&other, nonce, answered_at) else { return true };
         let _ = answered_at + ms(back.into());
-        match core.take_proof(&proof, at(10_003)) {
+        match core.apply_proof(&proof, at(10_003)) {
             PeerVerdict::ProvenAt(proven_at) => proven_at <= read_at,
             _ => false,
         }
@@ -228,7 +228,7 @@
     const STEP: u64 = 10;
     const SPAN: u64 = 60_000;
     let mut cores: Vec<_> = (0..ENTRIES).map(|number| entry(number, 5, at(0))).collect();
-    let age = |core: &RelayCore| ProofShare::refresh_age(core.lease().span());
+    let age = |core: &RelayCore| ProofShare::refresh_age(core.lease().duration());
     let mut due: Vec<_> = cores.iter().map(|core| at(0) + age(core)).collect();
     let mut reads = 0;
     for now in (0..SPAN).step_by(STEP as usize).map(at) {
@@ -239,19 +239,19 @@
             // What agents would report: the newest proof of the others, one step ago.
             let newest = cores.iter().max_by_key(|core| core.lease().proven_at()).unwrap();
             let newest_age = newest.lease().age(now).unwrap();
-            let proof = newest.tell_proof(0, now);
+            let proof = newest.answer_proof_request(0, now);
             report_peer(&mut cores[number], newest_age.as_millis() as u32, now);
-            if let Some((_, LoadNote::AskProof { nonce })) = cores[number].ask_proof(now)
-                && let Some(LoadNote::TellProof { revision, config_digest, proof_age_ms, .. }) =
+            if let Some((_, LoadNote::QueryProof { nonce })) = cores[number].request_proof(now)
+                && let Some(LoadNote::AnswerProof { revision, config_digest, proof_age_ms, .. }) =
                     proof
             {
                 let age = ms(proof_age_ms.into());
                 let proof =
                     PeerProof { nonce, revision, config_digest, age, evacuated: Vec::new() };
-                cores[number].take_proof(&proof, now);
+                cores[number].apply_proof(&proof, now);
             } else {
                 reads += 1;
-                cores[number].take_config(None, now);
+                cores[number].apply_config(None, now);
             }
             due[number] = cores[number].lease().proven_at().unwrap() + age(&cores[number]);
             assert!(cores[number].lease().is_held(now));
--- a/tests/relay/quarantine.rs
+++ b/tests/relay/quarantine.rs
@@ -15,7 +15,7 @@
 use shalelane::relay::peers::load_note::{LoadNote, MAX_NOTE};
 use shalelane::relay::peers::subscriber_set::SubscriberSet;
 
-use crate::fixture::{at, check, config_news, limits, ms, name, record, revision};
+use crate::fixture::{at, check, config_update, limits, ms, name, record, revision};
 
 const NO_TIME: Duration = Duration::ZERO;
 
@@ -30,7 +30,7 @@
 }
 
 fn instance(number: u64) -> TargetLife {
-    TargetLife { incarnation: name("e"), born_ms: number }
+    TargetLife { incarnation: name("e"), started_ms: number }
 }
 
 /// A ledger that has recorded crashes of these instances under a request.
@@ -43,13 +43,13 @@
 }
 
 fn crash_under(ledger: &mut QuarantineLedger, body: &str, number: u64, now: shalelane::time::Tick) {
-    ledger.note_broken(digest(body), &instance(number), NO_TIME, now);
-    ledger.note_ended(&instance(number), now);
+    ledger.record_broken(digest(body), &instance(number), NO_TIME, now);
+    ledger.record_crash(&instance(number), now);
     ledger.decide(now + JOIN_WINDOW);
 }
 
 fn is_quarantined(ledger: &QuarantineLedger, body: &str, now: u64) -> bool {
-    ledger.holds().held_for(&digest(body), at(now)).is_some()
+    ledger.quarantined().quarantine_left(&digest(body), at(now)).is_some()
 }
 
 #[test]
@@ -66,10 +66,10 @@
 fn a_broken_connection_alone_is_not_a_crash() {
     let mut ledger = QuarantineLedger::default();
     for number in 1..9 {
-        ledger.note_broken(digest("a"), &instance(number), NO_TIME, at(number));
+        ledger.record_broken(digest("a"), &instance(number), NO_TIME, at(number));
     }
     assert!(!is_quarantined(&ledger, "a", 10));
-    ledger.note_ended(&instance(1), at(20_000));
+    ledger.record_crash(&instance(1), at(20_000));
     assert!(!ledger.is_suspect(&digest("a")), "the target crashed long after the connection broke");
 }
 
@@ -77,8 +77,8 @@
 fn a_crash_may_be_reported_before_the_connection_breaks() {
     let mut ledger = QuarantineLedger::default();
     for number in 1..4 {
-        ledger.note_ended(&instance(number), at(number));
-        ledger.note_broken(digest("a"), &instance(number), NO_TIME, at(number + 5));
+        ledger.record_crash(&instance(number), at(number));
+        ledger.record_broken(digest("a"), &instance(number), NO_TIME, at(number + 5));
     }
     ledger.decide(at(200));
     assert!(is_quarantined(&ledger, "a", 10));
@@ -90,7 +90,7 @@
     for attempt in 0..5 {
         crash_under(&mut ledger, "a", 1, at(attempt));
     }
-    let instances = ledger.report_on(digest("a")).unwrap().lives;
+    let instances = ledger.report_on(digest("a")).unwrap().instances;
     assert_eq!(instances, [instance(1)]);
 }
 
@@ -98,8 +98,8 @@
 fn an_attempt_that_streamed_for_long_is_not_the_cause() {
     let mut ledger = QuarantineLedger::default();
     for number in 1..6 {
-        ledger.note_broken(digest("a"), &instance(number), ms(2_500), at(number));
-        ledger.note_ended(&instance(number), at(number));
+        ledger.record_broken(digest("a"), &instance(number), ms(2_500), at(number));
+        ledger.record_crash(&instance(number), at(number));
     }
     assert!(ledger.is_empty());
 }
@@ -107,8 +107,8 @@
 #[test]
 fn an_answer_clears_a_suspect() {
     let mut ledger = ledger_of("a", &[1, 2]);
-    assert!(ledger.note_served(&digest("a")));
-    assert!(!ledger.note_served(&digest("a")), "reported once");
+    assert!(ledger.record_served(&digest("a")));
+    assert!(!ledger.record_served(&digest("a")), "reported once");
     crash_under(&mut ledger, "a", 3, at(400));
     assert!(!is_quarantined(&ledger, "a", 400));
 }
@@ -119,9 +119,9 @@
 fn a_bystander_of_the_same_three_crashes_is_not_quarantined() {
     let mut ledger = QuarantineLedger::default();
     for number in 1..4 {
-        ledger.note_broken(digest("cause"), &instance(number), NO_TIME, at(number));
-        ledger.note_broken(digest("beside"), &instance(number), NO_TIME, at(number));
-        ledger.note_ended(&instance(number), at(number));
+        ledger.record_broken(digest("cause"), &instance(number), NO_TIME, at(number));
+        ledger.record_broken(digest("beside"), &instance(number), NO_TIME, at(number));
+        ledger.record_crash(&instance(number), at(number));
     }
     ledger.decide(at(105));
     assert!(
@@ -139,21 +139,21 @@
 fn reports_of_peers_lead_to_a_quarantine() {
     let mut reports = Vec::new();
     for number in 1..4 {
-        reports.push(SuspectNews { digest: digest("a"), lives: vec![instance(number)] });
+        reports.push(SuspectNews { digest: digest("a"), instances: vec![instance(number)] });
     }
     let mut ledger = QuarantineLedger::default();
     for (at_ms, report) in [(1, &reports[0]), (2, &reports[0]), (3, &reports[1])] {
-        ledger.take_news(report, at(at_ms));
+        ledger.apply_report(report, at(at_ms));
     }
     ledger.decide(at(150));
     assert!(!is_quarantined(&ledger, "a", 150), "one crash was reported twice");
-    ledger.take_news(&reports[2], at(200));
+    ledger.apply_report(&reports[2], at(200));
     assert!(!is_quarantined(&ledger, "a", 200), "further reports may still arrive");
     ledger.decide(at(300));
     assert!(is_quarantined(&ledger, "a", 300));
-    assert_eq!(ledger.take_found(), [digest("a")]);
-    assert!(ledger.take_found().is_empty());
-    let due = ledger.holds().write_due().unwrap();
+    assert_eq!(ledger.take_quarantined(), [digest("a")]);
+    assert!(ledger.take_quarantined().is_empty());
+    let due = ledger.quarantined().write_due().unwrap();
     assert!(due.since(at(300)) >= ms(1_000), "the process that detected it writes first");
 }
 
@@ -161,10 +161,10 @@
 fn a_suspect_report_fits_into_a_datagram() {
     let instances = (0..8).map(|number| TargetLife {
         incarnation: name("a-name-of-thirty-characters-or-so"),
-        born_ms: 1_700_000_000_000 + number,
+        started_ms: 1_700_000_000_000 + number,
     });
-    let report = SuspectNews { digest: digest("a"), lives: instances.collect() };
-    for message in [LoadNote::Suspected(report), LoadNote::Cleared(digest("a"))] {
+    let report = SuspectNews { digest: digest("a"), instances: instances.collect() };
+    for message in [LoadNote::RequestSuspected(report), LoadNote::RequestCleared(digest("a"))] {
         let bytes = message.to_bytes().unwrap();
         assert!(bytes.len() <= MAX_NOTE, "{} bytes", bytes.len());
         assert_eq!(LoadNote::from_bytes(&bytes).unwrap(), message);
@@ -184,23 +184,23 @@
             list_mark: None,
             config_mark: None,
         };
-        set.on_note(&subscribe, *entry, 100, at(0));
+        set.on_message(&subscribe, *entry, 100, at(0));
     }
     let report = |instances: &[u64]| {
         let crashed = instances.iter().map(|number| instance(*number)).collect();
-        LoadNote::Suspected(SuspectNews { digest: digest("a"), lives: crashed })
+        LoadNote::RequestSuspected(SuspectNews { digest: digest("a"), instances: crashed })
     };
-    assert!(set.on_note(&report(&[1]), entries[0], 100, at(10)).is_empty());
-    let out = set.on_note(&report(&[2]), entries[1], 100, at(20));
+    assert!(set.on_message(&report(&[1]), entries[0], 100, at(10)).is_empty());
+    let out = set.on_message(&report(&[2]), entries[1], 100, at(20));
     assert_eq!(out.len(), entries.len(), "including the entries that reported");
-    assert!(out.iter().all(|out| out.note == report(&[1, 2])));
+    assert!(out.iter().all(|out| out.message == report(&[1, 2])));
     let restarted =
         LoadNote::Subscribe { entry: 9, proof_age_ms: None, list_mark: None, config_mark: None };
-    let out = set.on_note(&restarted, entries[2], 100, at(30));
-    assert!(out.iter().any(|out| out.note == report(&[1, 2])), "an entry that restarted");
-    let out = set.on_note(&LoadNote::Cleared(digest("a")), entries[0], 100, at(40));
+    let out = set.on_message(&restarted, entries[2], 100, at(30));
+    assert!(out.iter().any(|out| out.message == report(&[1, 2])), "an entry that restarted");
+    let out = set.on_message(&LoadNote::RequestCleared(digest("a")), entries[0], 100, at(40));
     assert_eq!(out.len(), 2, "the other entries");
-    assert!(set.on_note(&report(&[3]), entries[0], 100, at(50)).is_empty());
+    assert!(set.on_message(&report(&[3]), entries[0], 100, at(50)).is_empty());
 }
 
 /// After its quarantine has expired, one more crash quarantines it for twice as long.
@@ -217,19 +217,19 @@
 #[test]
 fn a_process_that_starts_later_reads_the_quarantine_from_the_store() {
     let mut ledger = ledger_of("a", &[1, 2, 3]);
-    let records = ledger.to_write(EPOCH_MS, at(400)).unwrap();
-    assert!(ledger.to_write(EPOCH_MS, at(410)).is_none(), "not again at once");
-    assert!(ledger.to_write(EPOCH_MS, at(1_000)).is_some(), "retried until the store shows it");
-    ledger.take_records(&records, EPOCH_MS, at(1_100));
-    assert_eq!(ledger.holds().write_due(), None);
+    let records = ledger.due_records(EPOCH_MS, at(400)).unwrap();
+    assert!(ledger.due_records(EPOCH_MS, at(410)).is_none(), "not again at once");
+    assert!(ledger.due_records(EPOCH_MS, at(1_000)).is_some(), "retried until the store shows it");
+    ledger.apply_records(&records, EPOCH_MS, at(1_100));
+    assert_eq!(ledger.quarantined().write_due(), None);
     let mut later = QuarantineLedger::default();
-    later.take_records(&records, EPOCH_MS + 60_000, at(0));
-    let left = later.holds().held_for(&digest("a"), at(0)).unwrap();
+    later.apply_records(&records, EPOCH_MS + 60_000, at(0));
+    let left = later.quarantined().quarantine_left(&digest("a"), at(0)).unwrap();
     assert!(left > ms(535_000) && left < ms(545_000), "{left:?}");
     // A record that another process removed from the object is written again.
-    later.take_records(&[], EPOCH_MS + 60_000, at(10));
-    assert_eq!(later.to_write(EPOCH_MS, at(10)), None, "another process may write it first");
-    assert_eq!(later.to_write(EPOCH_MS, at(1_010)).unwrap(), records);
+    later.apply_records(&[], EPOCH_MS + 60_000, at(10));
+    assert_eq!(later.due_records(EPOCH_MS, at(10)), None, "another process may write it first");
+    assert_eq!(later.due_records(EPOCH_MS, at(1_010)).unwrap(), records);
 }
 
 #[test]
@@ -238,7 +238,7 @@
     for number in 0..5_000 {
         crash_under(&mut ledger, &format!("r{number}"), 1, at(number));
     }
-    assert!(ledger.to_news().len() <= 32);
+    assert!(ledger.to_reports().len() <= 32);
     let records: Vec<_> = (0..500)
         .map(|number| QuarantineRecord {
             digest: digest(&format!("h{number}")),
@@ -246,8 +246,8 @@
             renewals: 0,
         })
         .collect();
-    ledger.take_records(&records, EPOCH_MS, at(5_000));
-    assert!(ledger.holds().held_count(at(5_000)) <= 64);
+    ledger.apply_records(&records, EPOCH_MS, at(5_000));
+    assert!(ledger.quarantined().active_count(at(5_000)) <= 64);
 }
 
 /// A configuration of the same version delivers the quarantine; one of an earlier version does
@@ -257,14 +257,14 @@
     let record = QuarantineRecord { digest: digest("a"), since_ms: EPOCH_MS, renewals: 0 };
     let config = RelayConfig { version: 5, ..RelayConfig::default() };
     let quarantining = RelayConfig { quarantine: vec![record], ..config.clone() };
-    let update = |config| config_news(revision(9), config);
+    let update = |config| config_update(revision(9), config);
     let mut core = RelayCore::new(limits(StalePolicy::FailClosed), 1);
-    core.set_epoch(EPOCH_MS);
-    assert!(core.take_config(Some(config.clone()), at(0)));
-    assert!(!core.take_news(update(quarantining.clone()), at(10)), "the same version");
-    assert!(core.quarantine().holds().held_for(&digest("a"), at(20)).is_some());
+    core.set_unix_origin(EPOCH_MS);
+    assert!(core.apply_config(Some(config.clone()), at(0)));
+    assert!(!core.apply_update(update(quarantining.clone()), at(10)), "the same version");
+    assert!(core.quarantine().quarantined().quarantine_left(&digest("a"), at(20)).is_some());
     assert_eq!(core.config_copy().unwrap().config.quarantine, [record], "forwarded");
-    assert!(!core.take_news(update(RelayConfig { version: 4, ..quarantining }), at(30)));
+    assert!(!core.apply_update(update(RelayConfig { version: 4, ..quarantining }), at(30)));
     assert_eq!(core.rules().version(), 5);
 }
 
@@ -273,18 +273,18 @@
 #[test]
 fn crashes_are_detected_by_the_target_list() {
     let mut core = RelayCore::new(limits(StalePolicy::FailClosed), 1);
-    core.take_list(vec![record("a", 1), record("b", 2), record("c", 3)], false, at(0));
-    let instances: Vec<_> = ["a", "b", "c"].map(|name| core.life_of(name).unwrap()).into();
+    core.apply_list(vec![record("a", 1), record("b", 2), record("c", 3)], false, at(0));
+    let instances: Vec<_> = ["a", "b", "c"].map(|name| core.instance_of(name).unwrap()).into();
     let mut leaving = record("c", 3);
     leaving.is_leaving = true;
-    core.take_change(leaving, at(5));
+    core.apply_change(leaving, at(5));
     let mut restarted = record("b", 2);
-    restarted.born_ms = 7;
-    core.take_list(vec![record("a", 1), restarted], false, at(10));
-    core.take_list(vec![], false, at(20));
-    assert!(!core.may_live(&instances[0]) && !core.may_live(&instances[1]));
+    restarted.started_ms = 7;
+    core.apply_list(vec![record("a", 1), restarted], false, at(10));
+    core.apply_list(vec![], false, at(20));
+    assert!(!core.may_be_running(&instances[0]) && !core.may_be_running(&instances[1]));
     let is_suspected = |core: &mut RelayCore, instance, body| {
-        core.note_broken(digest(body), instance, NO_TIME, at(30));
+        core.record_broken(digest(body), instance, NO_TIME, at(30));
         core.quarantine().report_on(digest(body)).is_some()
     };
     assert!(is_suspected(&mut core, &instances[0], "x"));
@@ -309,16 +309,16 @@
     for round in 1..=ROUNDS {
         let engine = random.random_range(0..ENGINES);
         let (crashed, now) = (instance(round * ENGINES + engine), at(round * 100));
-        ledger.note_broken(digest("cause"), &crashed, NO_TIME, now);
+        ledger.record_broken(digest("cause"), &crashed, NO_TIME, now);
         for body in &mut bystanders {
             if random.random_range(0..ENGINES) == engine {
-                ledger.note_broken(digest(body), &crashed, NO_TIME, now);
+                ledger.record_broken(digest(body), &crashed, NO_TIME, now);
             } else {
-                ledger.note_served(&digest(body));
+                ledger.record_served(&digest(body));
                 body.push('x');
             }
         }
-        ledger.note_ended(&crashed, now + ms(10));
+        ledger.record_crash(&crashed, now + ms(10));
         ledger.decide(now + ms(10) + JOIN_WINDOW);
     }
     let end = ROUNDS * 100 + 50;
@@ -350,7 +350,7 @@
     assert_ne!(of(Some("")), of(None), "no account differs from an account with an empty name");
     let ledger = ledger_of("a", &[1, 2, 3]);
     assert_eq!(of(Some("acme")), digest("a"));
-    assert!(ledger.holds().held_for(&of(Some("acme")), at(300)).is_some());
-    assert!(ledger.holds().held_for(&of(Some("other")), at(300)).is_none());
-    assert!(ledger.holds().held_for(&of(None), at(300)).is_none());
+    assert!(ledger.quarantined().quarantine_left(&of(Some("acme")), at(300)).is_some());
+    assert!(ledger.quarantined().quarantine_left(&of(Some("other")), at(300)).is_none());
+    assert!(ledger.quarantined().quarantine_left(&of(None), at(300)).is_none());
 }
--- a/tests/relay/rates.rs
+++ b/tests/relay/rates.rs
@@ -34,9 +34,9 @@
     let mut core = RelayCore::new(limits(StalePolicy::FailClosed), entry);
     let service = ServiceRule { name: name("engines"), engine: Some(rates()), warmup: None };
     let config = RelayConfig { version: 1, services: vec![service], ..RelayConfig::default() };
-    core.take_config(Some(config), at(0));
+    core.apply_config(Some(config), at(0));
     let records = (1..).zip(names).map(|(number, name)| record(name, number)).collect();
-    core.take_list(records, false, at(0));
+    core.apply_list(records, false, at(0));
     core
 }
 
@@ -47,10 +47,10 @@
     let Some(query) = core.permit_query(&placement, Duration::ZERO, now) else {
         return Some(now);
     };
-    let reply = issuer.map(|issuer| issuer.on_ask(&query.ask, now));
-    match core.take_permit(&query, reply, now) {
-        PermitVerdict::Turn { from, .. } => Some(from),
-        PermitVerdict::Elsewhere => None,
+    let reply = issuer.map(|issuer| issuer.on_request(&query.request, now));
+    match core.apply_permit(&query, reply, now) {
+        PermitVerdict::SendWithin { from, .. } => Some(from),
+        PermitVerdict::PlaceAgain => None,
     }
 }
 
@@ -86,8 +86,8 @@
             others: Default::default(),
             sends: Vec::new(),
         };
-        let notice = RateWord::Named(rate(per_second));
-        world.entries[0].0.take_rate(&instance("a"), notice, Some(at(0)), at(10));
+        let notice = RateWord::Limit(rate(per_second));
+        world.entries[0].0.apply_rate(&instance("a"), notice, Some(at(0)), at(10));
         world.subscribe_all(at(20));
         world.subscribe_all(at(770));
         world
@@ -102,13 +102,13 @@
     /// Exchanges the known rates between one entry and the agents.
     fn subscribe(&mut self, entry: usize, now: Tick) {
         let (core, announced) = &mut self.entries[entry];
-        for (_, update) in core.to_giver_rates(now) {
-            self.issuer.take_news(&[update], now);
+        for (_, update) in core.to_issuer_rates(now) {
+            self.issuer.apply_updates(&[update], now);
         }
-        let updates = core.to_rates(now);
+        let updates = core.to_rate_updates(now);
         for issuer in self.others.iter_mut().chain([&mut self.issuer]) {
-            issuer.take_news(&updates, now);
-            core.take_rates(&issuer.to_news(announced, now), now);
+            issuer.apply_updates(&updates, now);
+            core.apply_rates(&issuer.to_updates(announced, now), now);
         }
     }
 
@@ -161,14 +161,14 @@
 #[test]
 fn entries_that_ask_two_agents_keep_one_and_a_half_times_the_rate() {
     let (mut first, mut second) = (PermitDesk::default(), PermitDesk::default());
-    let update = RateNews { life: instance("a"), rate: Some(rate(2.0)), age_ms: 0 };
+    let update = RateNews { instance: instance("a"), rate: Some(rate(2.0)), age_ms: 0 };
     let mut sends = Vec::new();
     for step in 0..4_000 {
         let now = at(step * 5);
         for (is_second, issuer) in [(false, &mut first), (true, &mut second)] {
             let request =
-                PermitAsk { news: update.clone(), warmup: None, most_wait_ms: 0, is_second };
-            if matches!(issuer.on_ask(&request, now), PermitReply::Granted { .. }) {
+                PermitAsk { rate: update.clone(), warmup: None, max_wait_ms: 0, is_second };
+            if matches!(issuer.on_request(&request, now), PermitReply::Granted { .. }) {
                 sends.push(now);
             }
         }
@@ -181,20 +181,20 @@
 #[test]
 fn an_expired_permit_is_not_used() {
     let mut core = core_of(1, &["a"]);
-    core.take_rate(&instance("a"), RateWord::Named(rate(2.0)), Some(at(0)), at(10));
+    core.apply_rate(&instance("a"), RateWord::Limit(rate(2.0)), Some(at(0)), at(10));
     let need = need(5_000);
     let mut placement =
         core.place("engines", Some(&need), TargetScope::Untried(&[]), at(20)).unwrap();
-    let share = core.begin(&placement, Some(&need), at(20));
+    let share = core.begin_attempt(&placement, Some(&need), at(20));
     assert!(!core.may_send(&share, at(20)), "sent without a permit");
     let query = core.permit_query(&placement, ms(0), at(20)).unwrap();
     let reply = Some(PermitReply::Granted { after_ms: 100 });
-    let PermitVerdict::Turn { from, until } = core.take_permit(&query, reply, at(30)) else {
+    let PermitVerdict::SendWithin { from, until } = core.apply_permit(&query, reply, at(30)) else {
         panic!("no permit");
     };
     assert_eq!(from, at(130));
-    placement.turn_until = Some(until);
-    let share = core.begin(&placement, Some(&need), at(130));
+    placement.send_before = Some(until);
+    let share = core.begin_attempt(&placement, Some(&need), at(130));
     assert!(core.may_send(&share, at(140)));
     assert!(!core.may_send(&share, at(900)));
 }
@@ -205,15 +205,15 @@
     let mut core = core_of(1, &["a"]);
     let need = need(5_000);
     let placement = core.place("engines", Some(&need), TargetScope::Untried(&[]), at(0)).unwrap();
-    let share = core.begin(&placement, Some(&need), at(0));
-    core.take_rate(&instance("a"), RateWord::Named(rate(2.0)), Some(at(0)), at(10));
+    let share = core.begin_attempt(&placement, Some(&need), at(0));
+    core.apply_rate(&instance("a"), RateWord::Limit(rate(2.0)), Some(at(0)), at(10));
     assert!(!core.may_send(&share, at(20)));
 }
 
 #[test]
 fn a_rate_limited_target_is_no_helper_and_the_last_choice() {
     let mut core = core_of(1, &["a", "b", "c"]);
-    core.take_rate(&instance("a"), RateWord::Named(rate(2.0)), Some(at(0)), at(10));
+    core.apply_rate(&instance("a"), RateWord::Limit(rate(2.0)), Some(at(0)), at(10));
     for prompt in [5_000, 40_000, 300_000] {
         let scope = TargetScope::Untried(&[]);
         let placement = core.place("engines", Some(&need(prompt)), scope, at(20)).unwrap();
@@ -225,13 +225,13 @@
 #[test]
 fn without_a_permit_callers_learn_when_one_may_be_available() {
     let mut core = core_of(1, &["a"]);
-    core.take_rate(&instance("a"), RateWord::Named(rate(0.5)), Some(at(0)), at(10));
+    core.apply_rate(&instance("a"), RateWord::Limit(rate(0.5)), Some(at(0)), at(10));
     let need = need(5_000);
     let scope = TargetScope::Untried(&[]);
     let placement = core.place("engines", Some(&need), scope, at(20)).unwrap();
     let query = core.permit_query(&placement, ms(0), at(20)).unwrap();
     let reply = Some(PermitReply::Refused { wait_ms: 1_800 });
-    assert_eq!(core.take_permit(&query, reply, at(20)), PermitVerdict::Elsewhere);
+    assert_eq!(core.apply_permit(&query, reply, at(20)), PermitVerdict::PlaceAgain);
     assert!(core.place("engines", Some(&need), scope, at(30)).is_none());
     assert_eq!(core.time_to_target("engines", at(30)), Some(ms(1_790)));
     assert!(core.place("engines", Some(&need), scope, at(1_820)).is_some());
@@ -240,17 +240,17 @@
 #[test]
 fn a_second_agent_is_asked_and_without_its_answer_nothing_is_sent() {
     let mut core = core_of(1, &["a", "b"]);
-    core.take_rate(&instance("a"), RateWord::Named(rate(2.0)), Some(at(0)), at(10));
-    core.take_rate(&instance("b"), RateWord::Named(rate(2.0)), Some(at(0)), at(10));
+    core.apply_rate(&instance("a"), RateWord::Limit(rate(2.0)), Some(at(0)), at(10));
+    core.apply_rate(&instance("b"), RateWord::Limit(rate(2.0)), Some(at(0)), at(10));
     let need = need(5_000);
     let scope = TargetScope::Untried(&[]);
     let placement = core.place("engines", Some(&need), scope, at(20)).unwrap();
     let first = core.permit_query(&placement, ms(0), at(20)).unwrap();
-    core.take_permit(&first, None, at(100));
+    core.apply_permit(&first, None, at(100));
     let second = core.permit_query(&placement, ms(0), at(100)).unwrap();
-    assert!(!first.ask.is_second && second.ask.is_second);
-    assert_ne!(first.beside, second.beside);
-    core.take_permit(&second, None, at(180));
+    assert!(!first.request.is_second && second.request.is_second);
+    assert_ne!(first.agent_host, second.agent_host);
+    core.apply_permit(&second, None, at(180));
     let other = core.place("engines", Some(&need), scope, at(190)).unwrap();
     assert_ne!(other.target, placement.target);
 }
@@ -259,72 +259,72 @@
 
 fn table_at(per_second: f64, now: Tick) -> RateBook {
     let mut table = RateBook::default();
-    assert!(table.note_named(&instance("a"), rate(per_second), now));
+    assert!(table.record_limit(&instance("a"), rate(per_second), now));
     table
 }
 
 fn update(per_second: Option<f64>, age_ms: u32) -> RateNews {
-    RateNews { life: instance("a"), rate: per_second.map(rate), age_ms }
+    RateNews { instance: instance("a"), rate: per_second.map(rate), age_ms }
 }
 
 #[test]
 fn the_latest_stated_rate_applies() {
     let mut table = table_at(2.0, at(100));
-    assert!(table.note_named(&instance("a"), rate(1.0), at(200)));
+    assert!(table.record_limit(&instance("a"), rate(1.0), at(200)));
     assert_eq!(table.rate_of(&instance("a")), Some(rate(1.0)));
-    assert!(table.note_named(&instance("a"), rate(8.0), at(300)));
+    assert!(table.record_limit(&instance("a"), rate(8.0), at(300)));
     assert_eq!(table.rate_of(&instance("a")), Some(rate(8.0)));
 }
 
 #[test]
 fn a_rate_that_is_stated_twice_changes_nothing() {
     let mut table = table_at(2.0, at(100));
-    assert!(!table.note_named(&instance("a"), rate(2.0), at(110)));
+    assert!(!table.record_limit(&instance("a"), rate(2.0), at(110)));
     assert_eq!(table.len(), 1);
 }
 
 #[test]
 fn a_rate_ends_with_an_answer_to_a_later_request_that_states_none() {
     let mut table = table_at(2.0, at(100));
-    assert!(!table.note_silent(&instance("a"), at(90)), "an old answer");
-    assert!(!table.note_silent(&instance("a"), at(100)), "sent before the rate was known");
-    assert!(table.note_silent(&instance("a"), at(101)));
+    assert!(!table.record_no_limit(&instance("a"), at(90)), "an old answer");
+    assert!(!table.record_no_limit(&instance("a"), at(100)), "sent before the rate was known");
+    assert!(table.record_no_limit(&instance("a"), at(101)));
     assert_eq!(table.rate_of(&instance("a")), None);
 }
 
 #[test]
 fn an_invalid_rate_does_not_end_a_known_one() {
     let mut core = core_of(1, &["a"]);
-    core.take_rate(&instance("a"), RateWord::Named(rate(2.0)), Some(at(0)), at(10));
-    core.take_rate(&instance("a"), RateWord::Unreadable, Some(at(50)), at(60));
+    core.apply_rate(&instance("a"), RateWord::Limit(rate(2.0)), Some(at(0)), at(10));
+    core.apply_rate(&instance("a"), RateWord::Unreadable, Some(at(50)), at(60));
     assert!(core.targets.get("a").unwrap().rate.is_some());
-    core.take_rate(&instance("a"), RateWord::Silent, None, at(70));
+    core.apply_rate(&instance("a"), RateWord::Absent, None, at(70));
     assert!(
         core.targets.get("a").unwrap().rate.is_some(),
         "the answer may not be the target's own"
     );
-    core.take_rate(&instance("a"), RateWord::Silent, Some(at(80)), at(90));
+    core.apply_rate(&instance("a"), RateWord::Absent, Some(at(80)), at(90));
     assert!(core.targets.get("a").unwrap().rate.is_none());
 }
 
 #[test]
 fn a_rate_of_a_former_instance_does_not_bind_the_next_one() {
     let mut core = core_of(1, &["a"]);
-    core.take_rate(&instance("a"), RateWord::Named(rate(2.0)), Some(at(0)), at(10));
+    core.apply_rate(&instance("a"), RateWord::Limit(rate(2.0)), Some(at(0)), at(10));
     let mut restarted = record("a", 1);
-    restarted.born_ms = 7;
-    core.take_change(restarted, at(20));
+    restarted.started_ms = 7;
+    core.apply_change(restarted, at(20));
     assert!(core.targets.get("a").unwrap().rate.is_none());
     // An answer of the former instance may still arrive.
-    core.take_rate(&instance("a"), RateWord::Named(rate(2.0)), Some(at(0)), at(30));
+    core.apply_rate(&instance("a"), RateWord::Limit(rate(2.0)), Some(at(0)), at(30));
     assert!(core.targets.get("a").unwrap().rate.is_none());
 }
 
 #[test]
 fn a_rate_that_is_announced_before_the_target_is_listed_binds_it() {
     let mut core = core_of(1, &["b"]);
-    core.take_rates(&[update(Some(2.0), 10)], at(10));
-    core.take_change(record("a", 2), at(20));
+    core.apply_rates(&[update(Some(2.0), 10)], at(10));
+    core.apply_change(record("a", 2), at(20));
     assert!(core.targets.get("a").unwrap().rate.is_some());
 }
 
@@ -339,11 +339,11 @@
 #[test]
 fn the_newest_update_applies() {
     let mut table = table_at(2.0, at(1_000));
-    assert!(!table.take(&update(None, 500), at(1_400)), "older than the known rate");
-    assert!(table.take(&update(None, 300), at(1_400)));
+    assert!(!table.apply_update(&update(None, 500), at(1_400)), "older than the known rate");
+    assert!(table.apply_update(&update(None, 300), at(1_400)));
     assert_eq!(table.rate_of(&instance("a")), None);
-    assert!(!table.take(&update(Some(2.0), 400), at(1_400)));
-    assert!(table.take(&update(Some(2.0), 0), at(1_500)));
+    assert!(!table.apply_update(&update(Some(2.0), 400), at(1_400)));
+    assert!(table.apply_update(&update(Some(2.0), 0), at(1_500)));
 }
 
 /// A forwarded update appears younger by its time in transit.
@@ -353,9 +353,9 @@
     for step in 1..100 {
         let now = at(1_000 + step * 100);
         let age = now.since(at(1_000)).as_millis() as u32;
-        table.take(&update(Some(2.0), age - 20), now);
+        table.apply_update(&update(Some(2.0), age - 20), now);
     }
-    let age = table.to_news_of(&instance("a"), at(11_000)).unwrap().age_ms;
+    let age = table.to_update(&instance("a"), at(11_000)).unwrap().age_ms;
     assert_eq!(age, 10_000);
 }
 
@@ -364,10 +364,10 @@
     let mut table = table_at(2.0, at(0));
     let mut announced = RateTold::default();
     let mut updates = |table: &mut RateBook, count: u64| {
-        (0..count).filter(|step| !table.to_news(&mut announced, at(*step)).is_empty()).count()
+        (0..count).filter(|step| !table.to_updates(&mut announced, at(*step)).is_empty()).count()
     };
     assert_eq!(updates(&mut table, 24), 3 + 3);
-    table.note_named(&instance("a"), rate(1.0), at(30));
+    table.record_limit(&instance("a"), rate(1.0), at(30));
     assert_eq!(updates(&mut table, 3), 3);
 }
 
@@ -375,14 +375,14 @@
 fn a_message_announces_a_few_targets_and_the_next_others() {
     let mut table = RateBook::default();
     for number in 0..10 {
-        table.note_named(&instance(&format!("t{number}")), rate(2.0), at(0));
+        table.record_limit(&instance(&format!("t{number}")), rate(2.0), at(0));
     }
     let mut announced = RateTold::default();
     let mut instances = std::collections::BTreeSet::new();
     for _ in 0..3 {
-        let updates = table.to_news(&mut announced, at(10));
+        let updates = table.to_updates(&mut announced, at(10));
         assert!(updates.len() <= 4);
-        instances.extend(updates.into_iter().map(|update| update.life));
+        instances.extend(updates.into_iter().map(|update| update.instance));
     }
     assert_eq!(instances.len(), 10);
 }
@@ -401,7 +401,7 @@
 fn the_number_of_known_rates_is_bounded() {
     let mut table = RateBook::default();
     for number in 0..2_000 {
-        table.note_named(&instance(&format!("t{number}")), rate(2.0), at(number));
+        table.record_limit(&instance(&format!("t{number}")), rate(2.0), at(number));
     }
     assert_eq!(table.len(), 1_024);
     assert!(table.rate_of(&instance("t1999")).is_some());
@@ -412,7 +412,7 @@
 fn an_agent_polls_a_rate_limited_engine_less_often() {
     let polls = |is_rate_limited| {
         let mut watch = EngineWatch::default();
-        watch.set_scarce(is_rate_limited);
+        watch.set_rate_limited(is_rate_limited);
         (0..80).filter(|step| watch.is_due(true, at(step * 100))).count()
     };
     assert_eq!((polls(false), polls(true)), (20, 4));
@@ -422,14 +422,14 @@
 fn an_agent_knows_whether_its_own_engine_is_rate_limited() {
     let mut set = SubscriberSet::default();
     let from = ([10, 1, 0, 1], 7_000).into();
-    let mut receive = |message: &LoadNote| drop(set.on_note(message, from, 100, at(0)));
+    let mut receive = |message: &LoadNote| drop(set.on_message(message, from, 100, at(0)));
     receive(&LoadNote::Rates(vec![update(Some(2.0), 0)]));
     let load = short_load();
-    receive(&LoadNote::Placed { target: name("b"), key: key(1), load });
-    assert!(!set.is_scarce(), "the rate is of another target");
-    let mut receive = |message: &LoadNote| drop(set.on_note(message, from, 100, at(0)));
-    receive(&LoadNote::Placed { target: name("a"), key: key(2), load });
-    assert!(set.is_scarce());
+    receive(&LoadNote::StreamPlaced { target: name("b"), key: key(1), load });
+    assert!(!set.is_rate_limited(), "the rate is of another target");
+    let mut receive = |message: &LoadNote| drop(set.on_message(message, from, 100, at(0)));
+    receive(&LoadNote::StreamPlaced { target: name("a"), key: key(2), load });
+    assert!(set.is_rate_limited());
 }
 
 /// No entry abandons an attempt for a target that may have no permit.
@@ -438,7 +438,7 @@
     let mut core = core_of(1, &["a", "b"]);
     let service = name("engines");
     assert!(core.could_retry(&service, None, &[name("b")], at(0)));
-    core.take_rate(&instance("a"), RateWord::Named(rate(2.0)), Some(at(0)), at(10));
+    core.apply_rate(&instance("a"), RateWord::Limit(rate(2.0)), Some(at(0)), at(10));
     assert!(!core.could_retry(&service, None, &[name("b")], at(20)));
 }
 
@@ -446,16 +446,16 @@
 fn a_reply_that_a_target_is_not_limited_ends_the_rate_known_at_the_request() {
     for (stated_again, is_over) in [(None, true), (Some(at(150)), false)] {
         let mut core = core_of(1, &["a"]);
-        core.take_rate(&instance("a"), RateWord::Named(rate(2.0)), Some(at(0)), at(10));
+        core.apply_rate(&instance("a"), RateWord::Limit(rate(2.0)), Some(at(0)), at(10));
         let need = need(5_000);
         let placement =
             core.place("engines", Some(&need), TargetScope::Untried(&[]), at(100)).unwrap();
         let query = core.permit_query(&placement, ms(0), at(100)).unwrap();
         if let Some(stated_at) = stated_again {
-            core.take_rate(&instance("a"), RateWord::Named(rate(1.0)), Some(at(0)), stated_at);
+            core.apply_rate(&instance("a"), RateWord::Limit(rate(1.0)), Some(at(0)), stated_at);
         }
-        let verdict = core.take_permit(&query, Some(PermitReply::Open), at(160));
-        assert!(matches!(verdict, PermitVerdict::Turn { .. }));
+        let verdict = core.apply_permit(&query, Some(PermitReply::Open), at(160));
+        assert!(matches!(verdict, PermitVerdict::SendWithin { .. }));
         assert_eq!(core.targets.get("a").unwrap().rate.is_none(), is_over);
     }
 }
@@ -465,9 +465,9 @@
 #[test]
 fn a_rate_in_an_old_answer_applies_until_the_next_one() {
     let mut table = table_at(2.0, at(100));
-    assert!(table.note_silent(&instance("a"), at(200)));
-    assert!(table.note_named(&instance("a"), rate(2.0), at(300)));
-    assert!(table.note_silent(&instance("a"), at(301)));
+    assert!(table.record_no_limit(&instance("a"), at(200)));
+    assert!(table.record_limit(&instance("a"), rate(2.0), at(300)));
+    assert!(table.record_no_limit(&instance("a"), at(301)));
     assert_eq!(table.rate_of(&instance("a")), None);
 }
 
@@ -475,13 +475,13 @@
 #[test]
 fn a_retry_waits_for_a_permit_if_only_a_rate_limited_target_is_left() {
     let mut core = core_of(1, &["a", "b"]);
-    core.take_rate(&instance("a"), RateWord::Named(rate(2.0)), Some(at(0)), at(10));
+    core.apply_rate(&instance("a"), RateWord::Limit(rate(2.0)), Some(at(0)), at(10));
     let (need, tried) = (need(5_000), [name("b")]);
     let scope = TargetScope::Untried(&tried);
     let placement = core.place("engines", Some(&need), scope, at(20)).unwrap();
     let query = core.permit_query(&placement, ms(0), at(20)).unwrap();
-    core.take_permit(&query, Some(PermitReply::Refused { wait_ms: 200 }), at(20));
+    core.apply_permit(&query, Some(PermitReply::Refused { wait_ms: 200 }), at(20));
     assert!(core.place("engines", Some(&need), scope, at(30)).is_none());
-    assert_eq!(core.time_to_turn("engines", at(30)), Some(ms(190)));
-    assert!(core.place_for_turn("engines", Some(&need), scope, at(30)).is_some());
+    assert_eq!(core.time_to_permit("engines", at(30)), Some(ms(190)));
+    assert!(core.place_with_permit("engines", Some(&need), scope, at(30)).is_some());
 }
--- a/tests/relay/regions.rs
+++ b/tests/relay/regions.rs
@@ -47,19 +47,19 @@
         accounts: vec![account("free", &[]), account("northern", &["north"])],
         ..RelayConfig::default()
     };
-    core.take_config(Some(config), at(0));
+    core.apply_config(Some(config), at(0));
     let domains = ["here", "south-1", "south-2", "south-2"];
     let names = ["a", "b", "c", "d"];
     let records = names.into_iter().zip(domains).zip(1..).map(|((target, domain), number)| {
         TargetRecord { failure_domain: name(domain), ..record(target, number) }
     });
-    core.take_list(records.collect(), false, at(0));
+    core.apply_list(records.collect(), false, at(0));
     core
 }
 
 fn allowed_domains(core: &mut RelayCore, path: &str, key: &str) -> Option<Rc<DomainSet>> {
     let access = core.admit("h", path, Some(key), at(10)).unwrap();
-    core.home_domains(&access)
+    core.allowed_domains(&access)
 }
 
 fn names(domains: Option<Rc<DomainSet>>) -> Option<Vec<String>> {
@@ -128,7 +128,7 @@
     let north_domains = allowed_domains(&mut core, "/any/x", "northern");
     let scope = ServiceScope { service: "engines", domains: north_domains.as_deref() };
     assert_eq!(core.time_to_target(scope, at(20)), None, "a target accepts requests");
-    core.targets.take_removal("a", None, at(30));
+    core.targets.apply_removal("a", None, at(30));
     assert_eq!(core.time_to_target(scope, at(40)), Some(ms(1_000)));
     assert_eq!(
         core.time_to_target("engines", at(40)),
--- a/tests/relay/restored_store.rs
+++ b/tests/relay/restored_store.rs
@@ -14,7 +14,7 @@
 use shalelane::relay::peers::config_copy::ConfigCopy;
 use shalelane::time::Tick;
 
-use crate::fixture::{at, config_news, limits, ms, name, record};
+use crate::fixture::{at, config_update, limits, ms, name, record};
 
 const fn before(number: u64) -> StoreRevision {
     StoreRevision { epoch: 1, number }
@@ -30,7 +30,7 @@
 
 fn core_at(revision: StoreRevision, version: u64) -> RelayCore {
     let mut core = RelayCore::new(limits(StalePolicy::FailClosed), 1);
-    core.take_config(Some(config(version)), at(1_000));
+    core.apply_config(Some(config(version)), at(1_000));
     core.set_config_revision(revision);
     core
 }
@@ -43,8 +43,8 @@
 /// Verdict of an entry at revision `known` on a proof of revision `proven`.
 fn verdict(known: StoreRevision, proven: StoreRevision) -> PeerVerdict {
     let mut sync = ProofShare::default();
-    sync.note_source(([10, 0, 0, 1], 80).into(), at(9_000));
-    sync.ask(7, at(1_000), at(9_500)).unwrap();
+    sync.record_source(([10, 0, 0, 1], 80).into(), at(9_000));
+    sync.next_query(7, at(1_000), at(9_500)).unwrap();
     let proof = PeerProof {
         nonce: 7,
         revision: proven,
@@ -52,7 +52,7 @@
         age: ms(100),
         evacuated: Vec::new(),
     };
-    sync.take_answer(&proof, known)
+    sync.apply_answer(&proof, known)
 }
 
 #[test]
@@ -72,9 +72,9 @@
 #[test]
 fn copies_of_the_previous_epoch_are_rejected() {
     let (mut old, mut new) = (core_at(before(9), 3), core_at(after(5), 4));
-    assert!(!new.take_copy(&copy_of(&old), at(2_000)));
+    assert!(!new.apply_copy(&copy_of(&old), at(2_000)));
     assert_eq!((new.config_revision().epoch, new.config_revision().number), (2, 5));
-    assert!(old.take_copy(&copy_of(&new), at(2_000)));
+    assert!(old.apply_copy(&copy_of(&new), at(2_000)));
     assert_eq!((old.config_revision().epoch, old.config_revision().number), (2, 5));
     assert_eq!(old.rules().version(), 4);
 }
@@ -89,38 +89,38 @@
 }
 
 fn update(since: StoreRevision, mark: StoreRevision) -> ListNews {
-    ListNews { since, mark, age_ms: 0, changes: Vec::new() }
+    ListNews { since, revision: mark, age_ms: 0, changes: Vec::new() }
 }
 
 fn sync_at(revision: StoreRevision) -> ListShare {
     let mut sync = ListShare::default();
-    sync.note_list(revision, revision);
+    sync.record_list(revision, revision);
     sync
 }
 
 #[test]
 fn the_list_revision_number_decreases_with_a_new_epoch() {
     let mut sync = sync_at(before(90));
-    sync.note_list(after(60), after(55));
-    assert_eq!((sync.mark().epoch, sync.mark().number), (2, 55));
+    sync.record_list(after(60), after(55));
+    assert_eq!((sync.changed_at().epoch, sync.changed_at().number), (2, 55));
 }
 
 #[test]
 fn list_updates_apply_only_within_one_epoch() {
     let mut sync = sync_at(before(90));
-    assert_eq!(sync.take_news(&update(after(50), after(60)), at(0)), NewsVerdict::Gap);
-    assert_eq!(sync.take_news(&update(before(80), after(60)), at(0)), NewsVerdict::Gap);
+    assert_eq!(sync.apply_update(&update(after(50), after(60)), at(0)), NewsVerdict::Gap);
+    assert_eq!(sync.apply_update(&update(before(80), after(60)), at(0)), NewsVerdict::Gap);
     let mut sync = sync_at(after(60));
-    assert_eq!(sync.take_news(&update(before(90), before(95)), at(0)), NewsVerdict::Known);
-    assert_eq!(sync.take_news(&update(after(60), after(61)), at(0)), NewsVerdict::Next);
+    assert_eq!(sync.apply_update(&update(before(90), before(95)), at(0)), NewsVerdict::Known);
+    assert_eq!(sync.apply_update(&update(after(60), after(61)), at(0)), NewsVerdict::Next);
 }
 
 #[test]
 fn a_list_revision_of_the_next_epoch_reported_by_agents_requires_a_read() {
     let mut sync = sync_at(before(90));
-    sync.note_agent(8, Some(after(60)), at(0));
+    sync.record_agent_report(8, Some(after(60)), at(0));
     assert!(sync.is_behind(at(5_000)));
-    sync.note_list(after(61), after(60));
+    sync.record_list(after(61), after(60));
     assert!(!sync.is_behind(at(5_000)));
 }
 
@@ -133,13 +133,13 @@
         changed_at: before(90),
         ..TargetList::new(before(90))
     };
-    core.take_reread(both, false, at(0), at(0));
+    core.apply_reread(both, false, at(0), at(0));
     let one = TargetList {
         records: vec![record("a", 1)],
         changed_at: after(60),
         ..TargetList::new(after(60))
     };
-    let (change, update) = core.take_reread(one, false, at(0), at(10));
+    let (change, update) = core.apply_reread(one, false, at(0), at(10));
     assert_eq!(change.removed, [name("b")]);
     assert_eq!(update, None);
 }
@@ -152,8 +152,8 @@
 #[test]
 fn a_target_of_this_epoch_supersedes_one_of_the_previous_epoch() {
     let mut set = TargetSet::default();
-    set.take_list(vec![listed("old", before(150))], false, at(0));
-    set.take_change(listed("new", after(60)), at(10));
+    set.apply_list(vec![listed("old", before(150))], false, at(0));
+    set.apply_change(listed("new", after(60)), at(10));
     let usable: Vec<_> = set.usable("engines", at(10)).collect();
     assert_eq!(usable.len(), 1);
     assert_eq!(usable[0].record.incarnation, name("new"));
@@ -162,12 +162,12 @@
 #[test]
 fn an_earlier_version_does_not_prove_a_later_one() {
     let mut core = core_at(before(9), 3);
-    core.take_read(read(after(5), Some(2)), at(3_000));
-    core.take_read(read(after(5), None), at(3_500));
+    core.apply_read(read(after(5), Some(2)), at(3_000));
+    core.apply_read(read(after(5), None), at(3_500));
     assert_eq!(core.rules().version(), 3, "versions never decrease");
     assert_eq!(core.lease().proven_at(), Some(at(1_000)));
     assert!(core.config_copy().is_none(), "the store holds another configuration");
-    core.take_read(read(after(6), Some(3)), at(4_000));
+    core.apply_read(read(after(6), Some(3)), at(4_000));
     assert_eq!(core.lease().proven_at(), Some(at(4_000)), "the version was written again");
 }
 
@@ -176,8 +176,8 @@
 #[test]
 fn an_overtaken_read_renews_the_proof_without_changing_the_configuration() {
     let mut core = core_at(after(9), 3);
-    core.take_news(config_news(after(12), config(4)), at(2_000));
-    assert!(!core.take_read(read(after(9), Some(3)), at(1_900)));
+    core.apply_update(config_update(after(12), config(4)), at(2_000));
+    assert!(!core.apply_read(read(after(9), Some(3)), at(1_900)));
     assert_eq!(core.lease().proven_at(), Some(at(1_900)));
     assert!(!core.is_store_behind());
     assert_eq!((core.rules().version(), core.config_revision()), (4, after(12)));
@@ -186,8 +186,8 @@
 #[test]
 fn an_answer_of_the_previous_epoch_proves_nothing() {
     let mut core = core_at(after(5), 3);
-    assert!(!core.take_read(read(before(20), Some(9)), at(5_000)));
-    assert!(!core.take_news(config_news(before(20), config(9)), at(5_000)));
+    assert!(!core.apply_read(read(before(20), Some(9)), at(5_000)));
+    assert!(!core.apply_update(config_update(before(20), config(9)), at(5_000)));
     assert_eq!(core.lease().proven_at(), Some(at(1_000)));
     assert_eq!(core.rules().version(), 3);
 }
@@ -196,12 +196,12 @@
 #[test]
 fn a_proof_is_given_only_in_the_epoch_in_which_it_was_made() {
     let mut core = core_at(before(9), 3);
-    core.take_read(read(before(9), None), at(2_000));
-    assert!(core.tell_proof(7, at(2_100)).is_some());
-    core.take_read(read(after(5), Some(2)), at(2_200));
-    assert_eq!(core.tell_proof(7, at(2_300)), None);
-    core.take_read(read(after(6), Some(3)), at(2_400));
-    assert!(core.tell_proof(7, at(2_500)).is_some());
+    core.apply_read(read(before(9), None), at(2_000));
+    assert!(core.answer_proof_request(7, at(2_100)).is_some());
+    core.apply_read(read(after(5), Some(2)), at(2_200));
+    assert_eq!(core.answer_proof_request(7, at(2_300)), None);
+    core.apply_read(read(after(6), Some(3)), at(2_400));
+    assert!(core.answer_proof_request(7, at(2_500)).is_some());
 }
 
 fn read(revision: StoreRevision, version: Option<u64>) -> ConfigRead {
@@ -213,7 +213,7 @@
 #[test]
 fn a_starting_process_applies_the_configuration_of_the_backup() {
     let mut core = RelayCore::new(limits(StalePolicy::FailClosed), 1);
-    assert!(core.take_config(Some(config(2)), at(3_000)));
+    assert!(core.apply_config(Some(config(2)), at(3_000)));
     assert!(core.lease().is_held(at(3_001)));
 }
 
@@ -227,7 +227,7 @@
 #[test]
 fn a_write_in_the_next_epoch_does_not_advance_the_revision() {
     let mut core = core_at(before(9), 3);
-    core.note_written(&[quarantined()], after(10), at(2_000));
+    core.record_written(&[quarantined()], after(10), at(2_000));
     assert_eq!((core.config_revision().epoch, core.config_revision().number), (1, 9));
 }
 
@@ -235,9 +235,9 @@
 fn quarantine_records_missing_in_the_backup_are_written_again() {
     let mut core = core_at(before(9), 3);
     let known = RelayConfig { quarantine: vec![quarantined()], ..config(3) };
-    core.take_config(Some(known), at(1_500));
+    core.apply_config(Some(known), at(1_500));
     assert_eq!(core.quarantine_to_write(at(9_000)), None);
-    core.take_config(Some(config(3)), at(10_000));
+    core.apply_config(Some(config(3)), at(10_000));
     let due: Tick = at(10_000) + ms(3_100);
     assert_eq!(core.quarantine_to_write(due).map(|records| records.len()), Some(1));
 }
@@ -247,19 +247,19 @@
 #[test]
 fn a_removed_target_that_the_backup_lists_again_is_unusable_for_a_while() {
     let mut set = TargetSet::default();
-    set.take_list(vec![listed("a", before(50))], false, at(0));
-    set.take_removal("a", None, at(1_000));
-    set.take_list(vec![listed("a", after(50))], true, at(2_000));
+    set.apply_list(vec![listed("a", before(50))], false, at(0));
+    set.apply_removal("a", None, at(1_000));
+    set.apply_list(vec![listed("a", after(50))], true, at(2_000));
     assert!(!set.get("a").unwrap().is_usable(at(5_900)));
     assert!(set.get("a").unwrap().is_usable(at(6_000)), "the target is still listed");
     let mut set = TargetSet::default();
-    set.take_list(vec![listed("a", before(50))], false, at(0));
-    set.take_removal("a", None, at(1_000));
-    set.take_list(vec![listed("a", after(61))], true, at(2_000));
+    set.apply_list(vec![listed("a", before(50))], false, at(0));
+    set.apply_removal("a", None, at(1_000));
+    set.apply_list(vec![listed("a", after(61))], true, at(2_000));
     assert!(set.get("a").unwrap().is_usable(at(2_000)), "the target registered again");
     let mut set = TargetSet::default();
-    set.take_list(vec![listed("a", before(50))], false, at(0));
-    set.take_removal("a", None, at(1_000));
-    set.take_list(vec![listed("a", before(50))], true, at(2_000));
+    set.apply_list(vec![listed("a", before(50))], false, at(0));
+    set.apply_removal("a", None, at(1_000));
+    set.apply_list(vec![listed("a", before(50))], true, at(2_000));
     assert!(set.get("a").unwrap().is_usable(at(2_000)), "the epoch is the same");
 }
--- a/tests/relay/return_time.rs
+++ b/tests/relay/return_time.rs
@@ -11,7 +11,7 @@
 fn callers_are_asked_to_retry_before_their_deadline() {
     fn property(first: u16, left: u16) -> bool {
         let found = place_prompt(&engines(1), &ANY_QUERY, &need(50_000), at(0)).unwrap();
-        let placement = Placement { first: ms(first.into()), ..found };
+        let placement = Placement { first_event: ms(first.into()), ..found };
         let need = PromptNeed { time_left: ms(left.into()), ..need(50_000) };
         let after = after_overload(&placement, &need, &mut rand::rng());
         after <= need.time_left / 3
@@ -22,7 +22,7 @@
 #[test]
 fn callers_are_asked_to_retry_after_the_prefill_queues_are_empty() {
     let found = place_prompt(&engines(1), &ANY_QUERY, &need(5_000), at(0)).unwrap();
-    let placement = Placement { first: ms(2_900), ..found };
+    let placement = Placement { first_event: ms(2_900), ..found };
     let need = PromptNeed { time_left: ms(30_000), ..need(5_000) };
     assert!(after_overload(&placement, &need, &mut rand::rng()) >= ms(2_900));
 }
--- a/tests/relay/start_wait.rs
+++ b/tests/relay/start_wait.rs
@@ -10,14 +10,14 @@
 /// Regression: 124 requests were refused in the 0.2 s after 30 processes had started.
 #[test]
 fn a_caller_waits_while_a_process_starts() {
-    assert!(start_wait(StartPhase::Reading, ms(30)) > ms(200));
+    assert!(start_wait(StartPhase::Loading, ms(30)) > ms(200));
 }
 
 #[test]
 fn no_caller_waits_for_a_process_that_has_started_or_fails_to_start() {
-    assert!(start_wait(StartPhase::Over, ms(0)).is_zero());
-    assert!(start_wait(StartPhase::Reading, ms(500)).is_zero());
-    assert!(start_wait(StartPhase::Reading, ms(50_000)).is_zero());
+    assert!(start_wait(StartPhase::Done, ms(0)).is_zero());
+    assert!(start_wait(StartPhase::Loading, ms(500)).is_zero());
+    assert!(start_wait(StartPhase::Loading, ms(50_000)).is_zero());
 }
 
 #[test]
@@ -25,11 +25,11 @@
     let list = || vec![record("a", 1)];
     let mut core = RelayCore::new(limits(StalePolicy::FailClosed), 1);
     assert!(!core.has_started());
-    core.take_list(list(), false, at(10));
+    core.apply_list(list(), false, at(10));
     assert!(!core.has_started(), "the process knows no route");
-    core.take_config(Some(RelayConfig::default()), at(5));
+    core.apply_config(Some(RelayConfig::default()), at(5));
     assert!(core.has_started());
     let mut core = RelayCore::new(limits(StalePolicy::FailClosed), 1);
-    core.take_config(Some(RelayConfig::default()), at(5));
+    core.apply_config(Some(RelayConfig::default()), at(5));
     assert!(!core.has_started(), "the process knows no target");
 }
--- a/tests/relay/targets.rs
+++ b/tests/relay/targets.rs
@@ -12,7 +12,7 @@
 
 fn listed(records: &[TargetRecord]) -> TargetSet {
     let mut set = TargetSet::default();
-    set.take_list(records.to_vec(), false, at(0));
+    set.apply_list(records.to_vec(), false, at(0));
     set
 }
 
@@ -27,8 +27,8 @@
 
 fn ready_core() -> RelayCore {
     let mut core = new_core();
-    core.take_config(Some(engine_config()), at(0));
-    core.take_list(vec![record("a", 1)], false, at(0));
+    core.apply_config(Some(engine_config()), at(0));
+    core.apply_list(vec![record("a", 1)], false, at(0));
     core
 }
 
@@ -42,7 +42,7 @@
 #[test]
 fn an_unlisted_target_is_removed_at_once() {
     let mut set = listed(&[record("a", 1), record("b", 2)]);
-    let change = set.take_list(vec![record("a", 1)], false, at(10));
+    let change = set.apply_list(vec![record("a", 1)], false, at(10));
     assert_eq!(change.removed, [name("b")]);
     assert_eq!(usable(&set), ["a"]);
 }
@@ -50,9 +50,9 @@
 #[test]
 fn after_an_outage_a_missing_target_may_come_back_within_two_seconds() {
     let mut set = listed(&[record("a", 1), record("b", 2)]);
-    set.take_list(vec![], true, at(10_000));
+    set.apply_list(vec![], true, at(10_000));
     assert_eq!(usable(&set), ["a", "b"]);
-    set.take_change(record("a", 1), at(11_000));
+    set.apply_change(record("a", 1), at(11_000));
     set.expire(at(11_999));
     assert_eq!(usable(&set), ["a"]);
 }
@@ -62,7 +62,7 @@
 #[test]
 fn a_removed_target_receives_nothing_after_two_seconds() {
     let mut core = ready_core();
-    core.targets.take_removal("a", Some(at(1_000)), at(1_000));
+    core.targets.apply_removal("a", Some(at(1_000)), at(1_000));
     assert!(core.place("engines", Some(&need(5_000)), ANY, at(2_500)).is_some());
     assert!(core.place("engines", Some(&need(5_000)), ANY, at(2_800)).is_none());
 }
@@ -70,8 +70,8 @@
 #[test]
 fn a_removal_received_after_an_outage_is_delayed_as_well() {
     let mut set = listed(&[record("a", 1), record("b", 2)]);
-    set.take_removal("a", Some(at(1_000)), at(1_000));
-    set.take_removal("b", None, at(1_000));
+    set.apply_removal("a", Some(at(1_000)), at(1_000));
+    set.apply_removal("b", None, at(1_000));
     assert_eq!(usable(&set), ["a"]);
     set.expire(at(3_000));
     assert!(usable(&set).is_empty());
@@ -80,8 +80,8 @@
 #[test]
 fn a_leaving_target_does_not_come_back() {
     let mut set = listed(&[record("a", 1)]);
-    set.take_change(TargetRecord { is_leaving: true, ..record("a", 1) }, at(10));
-    set.take_change(record("a", 1), at(20));
+    set.apply_change(TargetRecord { is_leaving: true, ..record("a", 1) }, at(10));
+    set.apply_change(record("a", 1), at(20));
     assert!(usable(&set).is_empty());
 }
 
@@ -92,7 +92,7 @@
     let later = TargetRecord { listed_at: revision(9), ..record("b", 1) };
     let mut set = listed(&[record("a", 1), later]);
     assert_eq!(usable(&set), ["b"]);
-    set.take_removal("b", None, at(10));
+    set.apply_removal("b", None, at(10));
     assert_eq!(usable(&set), ["a"]);
 }
 
@@ -101,9 +101,9 @@
 #[test]
 fn a_target_listed_before_the_configuration_takes_prompts() {
     let mut core = new_core();
-    core.take_list(vec![record("a", 1)], false, at(0));
+    core.apply_list(vec![record("a", 1)], false, at(0));
     assert!(core.place("engines", Some(&need(5_000)), ANY, at(0)).is_none());
-    core.take_config(Some(engine_config()), at(1));
+    core.apply_config(Some(engine_config()), at(1));
     assert!(core.place("engines", Some(&need(5_000)), ANY, at(2)).is_some());
 }
 
@@ -115,7 +115,7 @@
     const RECEIVED_AFTER: u64 = 530;
     const BOUND: u64 = 2_000;
     let mut set = engines(2);
-    set.take_removal("e0", Some(at(0)), at(RECEIVED_AFTER));
+    set.apply_removal("e0", Some(at(0)), at(RECEIVED_AFTER));
     set.expire(at(BOUND));
     let is_used =
         set.usable("engines", at(BOUND)).any(|target| &*target.record.incarnation == "e0");
