--- a/tests/relay/warmups.rs
+++ b/tests/relay/warmups.rs
@@ -34,19 +34,19 @@
     let mut core = RelayCore::new(limits, entry);
     let service = ServiceRule { name: name("engines"), engine: Some(rates()), warmup: Some(RULE) };
     let config = RelayConfig { version: 1, services: vec![service], ..RelayConfig::default() };
-    core.take_config(Some(config), at(0));
+    core.apply_config(Some(config), at(0));
     core
 }
 
 /// An entry that has known the target `a` as warm for long.
 fn core_of_one(entry: u64) -> RelayCore {
     let mut core = new_core(entry);
-    core.take_list(vec![record("a", 1)], false, at(0));
+    core.apply_list(vec![record("a", 1)], false, at(0));
     core
 }
 
 fn listed(warmup_ms: Option<u32>, born_ms: u64) -> TargetRecord {
-    TargetRecord { warmup_ms, born_ms, ..record("a", 1) }
+    TargetRecord { warmup_ms, started_ms: born_ms, ..record("a", 1) }
 }
 
 fn is_cold(core: &RelayCore, now: Tick) -> bool {
@@ -57,14 +57,14 @@
 fn the_latest_statement_of_an_instance_says_whether_it_is_cold() {
     let mut core = core_of_one(1);
     assert!(!is_cold(&core, at(100)), "it was listed before");
-    core.take_change(listed(Some(2_000), 1), at(100));
+    core.apply_change(listed(Some(2_000), 1), at(100));
     assert!(is_cold(&core, at(2_050)));
     assert!(!is_cold(&core, at(2_100)));
-    core.take_change(listed(Some(2_000), 1), at(3_000));
+    core.apply_change(listed(Some(2_000), 1), at(3_000));
     assert!(!is_cold(&core, at(3_001)), "the same list entry again");
-    core.take_change(listed(Some(1_500), 1), at(4_000));
+    core.apply_change(listed(Some(1_500), 1), at(4_000));
     assert!(is_cold(&core, at(5_000)), "it turned cold again");
-    core.take_change(listed(Some(0), 1), at(5_000));
+    core.apply_change(listed(Some(0), 1), at(5_000));
     assert!(!is_cold(&core, at(5_001)));
 }
 
@@ -73,13 +73,13 @@
     let mut core = core_of_one(1);
     let instance = record("a", 1).to_life();
     let cold = TargetNotice { warmup: Some(ms(700)), ..TargetNotice::default() };
-    core.take_notice(&instance, &cold, at(100));
+    core.apply_notice(&instance, &cold, at(100));
     assert!(is_cold(&core, at(750)));
     let placement = core.place("engines", Some(&need(5_000)), TargetScope::Untried(&[]), at(200));
     let placement = placement.unwrap();
     assert!(core.permit_query(&placement, ms(0), at(200)).is_some(), "it is sent without a permit");
     let warm = TargetNotice { warmup: Some(ms(0)), ..TargetNotice::default() };
-    core.take_notice(&instance, &warm, at(300));
+    core.apply_notice(&instance, &warm, at(300));
     assert!(core.permit_query(&placement, ms(0), at(300)).is_none());
 }
 
@@ -87,11 +87,11 @@
 #[test]
 fn a_target_that_reappears_counts_as_cold() {
     let mut core = core_of_one(1);
-    core.take_change(listed(None, 5), at(1_000));
+    core.apply_change(listed(None, 5), at(1_000));
     assert!(is_cold(&core, at(3_900)), "it restarted under its name");
     assert!(!is_cold(&core, at(4_000)));
-    core.targets.take_removal("a", Some(at(5_000)), at(5_000));
-    core.take_change(listed(None, 5), at(5_500));
+    core.targets.apply_removal("a", Some(at(5_000)), at(5_000));
+    core.apply_change(listed(None, 5), at(5_500));
     assert!(is_cold(&core, at(8_400)), "it was missing from the list");
     assert!(!is_cold(&core, at(8_500)));
 }
@@ -103,8 +103,8 @@
         domains: domains.iter().map(|domain| name(domain)).collect(),
         epoch: 0,
     };
-    core.take_evacuations(evacuation(&["here"]), at(100), at(110));
-    core.take_evacuations(evacuation(&[]), at(5_000), at(5_100));
+    core.apply_evacuations(evacuation(&["here"]), at(100), at(110));
+    core.apply_evacuations(evacuation(&[]), at(5_000), at(5_100));
     assert!(is_cold(&core, at(8_000)));
     assert!(!is_cold(&core, at(8_100)));
 }
@@ -115,17 +115,17 @@
     let mut core = core_of_one(1);
     let need = need(5_000);
     let placement = core.place("engines", Some(&need), TargetScope::Untried(&[]), at(10)).unwrap();
-    let share = core.begin(&placement, Some(&need), at(10));
-    core.take_change(listed(Some(2_000), 0), at(11));
+    let share = core.begin_attempt(&placement, Some(&need), at(10));
+    core.apply_change(listed(Some(2_000), 0), at(11));
     assert!(!core.may_send(&share, at(12)));
 }
 
 #[test]
 fn the_lower_of_a_stated_rate_and_the_warm_up_rate_applies() {
     let mut core = core_of_one(1);
-    core.take_change(listed(Some(2_000), 0), at(10));
+    core.apply_change(listed(Some(2_000), 0), at(10));
     let stated = RateLimit::from_per_second(2.0);
-    core.take_rate(&record("a", 1).to_life(), RateWord::Named(stated.unwrap()), None, at(20));
+    core.apply_rate(&record("a", 1).to_life(), RateWord::Limit(stated.unwrap()), None, at(20));
     assert_eq!(core.targets.get("a").unwrap().rate, stated);
 }
 
@@ -134,29 +134,29 @@
 fn an_agent_limits_entries_that_do_not_know_that_the_target_is_cold() {
     let mut issuer = PermitDesk::default();
     let target = record("a", 1).to_life();
-    let update = RateNews { life: target, rate: RateLimit::from_per_second(1_000.0), age_ms: 0 };
+    let update = RateNews { instance: target, rate: RateLimit::from_per_second(1_000.0), age_ms: 0 };
     let warmup = WarmupNews { rate: RateLimit::from_per_second(2.0).unwrap(), left_ms: 3_000 };
     let request =
-        |warmup| PermitAsk { news: update.clone(), warmup, most_wait_ms: 0, is_second: false };
-    issuer.on_ask(&request(Some(warmup)), at(0));
+        |warmup| PermitAsk { rate: update.clone(), warmup, max_wait_ms: 0, is_second: false };
+    issuer.on_request(&request(Some(warmup)), at(0));
     let mut granted = 0;
     for millis in 0..2_900 {
-        let reply = issuer.on_ask(&request(None), at(millis));
+        let reply = issuer.on_request(&request(None), at(millis));
         granted += usize::from(matches!(reply, PermitReply::Granted { .. }));
     }
     assert!(granted <= 7, "{granted} permits in 2.9 s at 2/s");
-    assert!(matches!(issuer.on_ask(&request(None), at(4_000)), PermitReply::Granted { .. }));
+    assert!(matches!(issuer.on_request(&request(None), at(4_000)), PermitReply::Granted { .. }));
 }
 
 #[test]
 fn a_permit_request_for_a_cold_target_fits_into_a_datagram() {
     let mut core = core_of_one(1);
-    core.take_change(listed(Some(2_000), 0), at(10));
+    core.apply_change(listed(Some(2_000), 0), at(10));
     let placement =
         core.place("engines", Some(&need(5_000)), TargetScope::Untried(&[]), at(20)).unwrap();
-    let ask = core.permit_query(&placement, ms(0), at(20)).unwrap().ask;
+    let ask = core.permit_query(&placement, ms(0), at(20)).unwrap().request;
     assert_eq!(ask.warmup.unwrap().left_ms, 1_990);
-    let message = LoadNote::AskPermit { nonce: 7, ask };
+    let message = LoadNote::RequestPermit { nonce: 7, ask };
     let bytes = message.to_bytes().unwrap();
     assert!(bytes.len() <= 400, "{} bytes", bytes.len());
     assert_eq!(LoadNote::from_bytes(&bytes).unwrap(), message);
@@ -183,7 +183,7 @@
         let (mut first, mut second) = (PermitDesk::default(), PermitDesk::default());
         let mut sends = Vec::new();
         for core in &mut cores {
-            core.take_change(listed(Some(3_000), 1), at(10));
+            core.apply_change(listed(Some(3_000), 1), at(10));
         }
         for millis in 20..3_000 {
             let now = at(millis);
@@ -201,13 +201,13 @@
                 continue;
             };
             let query = core.permit_query(&placement, ms(0), now).expect("it is cold");
-            let issuer = match (query.ask.is_second, is_disconnected) {
+            let issuer = match (query.request.is_second, is_disconnected) {
                 (false, true) => None,
                 (false, false) => Some(&mut first),
                 (true, _) => Some(&mut second),
             };
-            let reply = issuer.map(|issuer| issuer.on_ask(&query.ask, now));
-            if let PermitVerdict::Turn { from, until } = core.take_permit(&query, reply, now) {
+            let reply = issuer.map(|issuer| issuer.on_request(&query.request, now));
+            if let PermitVerdict::SendWithin { from, until } = core.apply_permit(&query, reply, now) {
                 let validity = until.since(from).as_millis() as u64;
                 sends.push(from + ms(random.random_range(0..=validity)));
             }
@@ -231,13 +231,13 @@
         let mut random = StdRng::seed_from_u64(7);
         for millis in 0..8_000 {
             for (issuer, is_second) in issuers.iter_mut().zip([false, true]) {
-                let update = RateNews { life: instance.clone(), rate: None, age_ms: u32::MAX };
+                let update = RateNews { instance: instance.clone(), rate: None, age_ms: u32::MAX };
                 let warmup = Some(WarmupNews { rate, left_ms: 3_000 });
-                let request = PermitAsk { news: update, warmup, most_wait_ms: 0, is_second };
+                let request = PermitAsk { rate: update, warmup, max_wait_ms: 0, is_second };
                 // An idle time comes first, so that each agent carries over an unused permit.
                 let is_idle = millis < 4_000 && millis > 10;
                 if !is_idle
-                    && matches!(issuer.on_ask(&request, at(millis)), PermitReply::Granted { .. })
+                    && matches!(issuer.on_request(&request, at(millis)), PermitReply::Granted { .. })
                 {
                     sends.push(at(millis) + ms(random.random_range(0..=300)));
                 }
--- a/tests/relay/watch_pace.rs
+++ b/tests/relay/watch_pace.rs
@@ -1,7 +1,7 @@
 //! Wait times of watches of the store.
 
 use shalelane::relay::discovery::watch_pace::{
-    NEWS_STEP, WatchEnd, delay_after, list_rest, watch_wait,
+    NEWS_STEP, WatchEnd, delay_after, list_rest, watch_timeout,
 };
 
 use crate::fixture::{check, ms};
@@ -10,10 +10,10 @@
 fn a_watch_ends_before_the_store_forgets_its_start_position() {
     fn property(history: u16) -> bool {
         let history = ms(u64::from(history));
-        watch_wait(history) + NEWS_STEP <= history.max(ms(1_200))
+        watch_timeout(history) + NEWS_STEP <= history.max(ms(1_200))
     }
     check(property as fn(u16) -> bool);
-    assert_eq!(watch_wait(ms(600_000)), ms(25_000), "bounded by the cost of a watch");
+    assert_eq!(watch_timeout(ms(600_000)), ms(25_000), "bounded by the cost of a watch");
 }
 
 #[test]
