--- a/src/entry/quarantine.rs
+++ b/src/entry/quarantine.rs
@@ -9,7 +9,7 @@
 use super::core::EntryCore;
 use super::event::Arrival;
 use crate::relay::decide::request_digest::RequestDigest;
-use crate::relay::decide::targets::TargetLife;
+use crate::relay::decide::targets::TargetInstance;
 use crate::time::Tick;
 use crate::wire::Call;
 
@@ -30,7 +30,9 @@
         }
         self.quarantine.decide(now);
         let digest = self.requests.get(&number).map(|request| digest_of(&request.arrival));
-        digest.is_some_and(|digest| self.quarantine.quarantined().quarantine_left(&digest, now).is_some())
+        digest.is_some_and(|digest| {
+            self.quarantine.quarantined().quarantine_left(&digest, now).is_some()
+        })
     }
 
     /// Notes that a request broke off at a target, which may have ended under it.
@@ -63,9 +65,9 @@
     }
 
     /// The life that a target is in, by the ends that its agent has told of.
-    fn life_of(&self, target: &Arc<str>) -> TargetLife {
+    fn life_of(&self, target: &Arc<str>) -> TargetInstance {
         let ends = self.lives.get(target).copied().unwrap_or(0);
-        TargetLife { incarnation: target.clone(), started_ms: ends }
+        TargetInstance { incarnation: target.clone(), started_ms: ends }
     }
 }
 
--- a/src/relay/core/attempts.rs
+++ b/src/relay/core/attempts.rs
@@ -4,18 +4,18 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::{AttemptShare, RelayCore, RelayLimits};
+use super::{PlacedAttempt, RelayCore, RelayLimits};
 use crate::relay::decide::group_search::place_prompt;
 use crate::relay::decide::placement::{
-    Placement, PlacementQuery, PromptNeed, TargetScope, TurnPolicy, place_call,
+    PermitPolicy, Placement, PlacementQuery, PromptNeed, TargetScope, place_call,
 };
 use crate::relay::decide::retry_budget::RetryBudget;
-use crate::relay::decide::return_time::until_usable;
+use crate::relay::decide::retry_delay::until_usable;
 use crate::relay::decide::service_scope::{DomainSet, ServiceScope};
 use crate::relay::decide::stream_load::{StreamKey, StreamLoad};
 use crate::relay::decide::target_notice::TargetNotice;
-use crate::relay::decide::targets::{TargetFault, TargetLife};
-use crate::relay::peers::load_note::LoadNote;
+use crate::relay::decide::targets::{TargetFault, TargetInstance};
+use crate::relay::peers::peer_message::PeerMessage;
 use crate::time::Tick;
 
 impl RelayCore {
@@ -61,7 +61,7 @@
         scope: TargetScope<'_>,
         now: Tick,
     ) -> Option<Placement> {
-        self.place_with_policy(service.into(), need, scope, TurnPolicy::Immediate, now)
+        self.place_with_policy(service.into(), need, scope, PermitPolicy::Immediate, now)
     }
 
     /// Chooses the targets of a request that can wait for a permit of a rate-limited target,
@@ -73,7 +73,7 @@
         scope: TargetScope<'_>,
         now: Tick,
     ) -> Option<Placement> {
-        self.place_with_policy(service.into(), need, scope, TurnPolicy::MayWait, now)
+        self.place_with_policy(service.into(), need, scope, PermitPolicy::MayWait, now)
     }
 
     fn place_with_policy(
@@ -81,7 +81,7 @@
         service: ServiceScope<'_>,
         need: Option<&PromptNeed>,
         scope: TargetScope<'_>,
-        turn: TurnPolicy,
+        turn: PermitPolicy,
         now: Tick,
     ) -> Option<Placement> {
         self.remove_missing(now);
@@ -105,7 +105,7 @@
         placement: &Placement,
         need: Option<&PromptNeed>,
         now: Tick,
-    ) -> AttemptShare {
+    ) -> PlacedAttempt {
         self.next_number += 1;
         let key = StreamKey { entry: self.entry, number: self.next_number };
         if let Some(target) = self.targets.get_mut(&placement.target) {
@@ -114,7 +114,7 @@
         if let Some(need) = need {
             self.begin_stream(placement, need, key, now);
         }
-        AttemptShare {
+        PlacedAttempt {
             target: placement.target.clone(),
             instance: self.instance_of(&placement.target),
             is_suspect: false,
@@ -139,8 +139,12 @@
         let holders = placement.reservations.len() + 1;
         let start_us = placement.first_event.as_micros() as u64;
         let passes = model.rates().passes(need.answer_tokens);
-        let own_load = StreamLoad { first_event_us: start_us, ..need.to_load(prefill, shards, holders, passes) };
-        let shard_load = StreamLoad { first_event_us: start_us, ..need.to_helper_load(prefill, shards) };
+        let own_load = StreamLoad {
+            first_event_us: start_us,
+            ..need.to_load(prefill, shards, holders, passes)
+        };
+        let shard_load =
+            StreamLoad { first_event_us: start_us, ..need.to_helper_load(prefill, shards) };
         self.add_load(&placement.target, key, own_load, now);
         for (index, helper) in placement.helpers.iter().enumerate() {
             let load = if index < placement.reservations.len() { own_load } else { shard_load };
@@ -152,12 +156,12 @@
         let target = self.targets.get_mut(name);
         if let Some(model) = target.and_then(|target| target.model.as_mut()) {
             model.add(key, load, now);
-            self.outbox.push(LoadNote::StreamPlaced { target: name.clone(), key, load });
+            self.outbox.push(PeerMessage::StreamPlaced { target: name.clone(), key, load });
         }
     }
 
     /// Records that an attempt has ended, whatever its outcome, and releases what it occupied.
-    pub fn end_attempt(&mut self, attempt: &AttemptShare) {
+    pub fn end_attempt(&mut self, attempt: &PlacedAttempt) {
         let is_same = self.instance_of(&attempt.target) == attempt.instance;
         if let Some(target) = self.targets.get_mut(&attempt.target).filter(|_| is_same) {
             target.record_finished();
@@ -169,7 +173,10 @@
             let target = self.targets.get_mut(name);
             if let Some(model) = target.and_then(|target| target.model.as_mut()) {
                 model.remove(attempt.stream_key);
-                self.outbox.push(LoadNote::StreamEnded { target: name.clone(), key: attempt.stream_key });
+                self.outbox.push(PeerMessage::StreamEnded {
+                    target: name.clone(),
+                    key: attempt.stream_key,
+                });
             }
         }
     }
@@ -183,7 +190,7 @@
 
     /// Predicts the time until the prompt of an attempt is prefilled, from the known prefill work
     /// of its engines.
-    pub fn time_to_prefill(&mut self, attempt: &AttemptShare, now: Tick) -> Duration {
+    pub fn time_to_prefill(&mut self, attempt: &PlacedAttempt, now: Tick) -> Duration {
         let mut longest = Duration::ZERO;
         for name in std::iter::once(&attempt.target).chain(&attempt.helpers) {
             if let Some(model) = self.model(name) {
@@ -200,7 +207,7 @@
     }
 
     /// Records the first event of a stream: its prompt is prefilled.
-    pub fn record_first_event(&mut self, attempt: &AttemptShare, now: Tick) {
+    pub fn record_first_event(&mut self, attempt: &PlacedAttempt, now: Tick) {
         for name in std::iter::once(&attempt.target).chain(&attempt.helpers) {
             if let Some(model) = self.model(name) {
                 model.record_first_event(attempt.stream_key, now);
@@ -234,9 +241,9 @@
 
     /// Applies what an answer says of the target instance that gave it, except for its rate
     /// ([`RelayCore::apply_rate`]).
-    pub fn apply_notice(&mut self, instance: &TargetLife, notice: &TargetNotice, now: Tick) {
+    pub fn apply_notice(&mut self, instance: &TargetInstance, notice: &TargetNotice, now: Tick) {
         let target = self.targets.get_mut(&instance.incarnation);
-        let target = target.filter(|target| target.record.to_life() == *instance);
+        let target = target.filter(|target| target.record.to_instance() == *instance);
         if target.is_some_and(|target| target.apply_notice(notice, now)) {
             // In a large fleet another engine takes its place.
             self.choose_engines(now);
@@ -248,7 +255,7 @@
     /// Returns `true` if an attempt may still be sent as it was placed. Its targets may have asked
     /// for back-off since.
     #[must_use]
-    pub fn may_send(&self, attempt: &AttemptShare, now: Tick) -> bool {
+    pub fn may_send(&self, attempt: &PlacedAttempt, now: Tick) -> bool {
         if self.instance_of(&attempt.target) != attempt.instance {
             return false;
         }
--- a/src/relay/core/configuration.rs
+++ b/src/relay/core/configuration.rs
@@ -5,12 +5,12 @@
 
 use super::RelayCore;
 use crate::relay::discovery::config_delta::ConfigDelta;
-use crate::relay::discovery::feed::{ConfigNews, ConfigRead};
-use crate::relay::discovery::proof_share::{PeerProof, PeerVerdict, ProofShare};
+use crate::relay::discovery::proof_sync::{PeerProof, PeerVerdict, ProofSync};
 use crate::relay::discovery::rules::{RelayConfig, RuleTable};
+use crate::relay::discovery::source::{ConfigRead, ConfigUpdate};
 use crate::relay::discovery::store_revision::StoreRevision;
 use crate::relay::peers::config_copy::ConfigCopy;
-use crate::relay::peers::load_note::LoadNote;
+use crate::relay::peers::peer_message::PeerMessage;
 use crate::time::Tick;
 
 impl RelayCore {
@@ -22,7 +22,7 @@
             return false;
         }
         let is_earlier = read.revision < self.config_revision;
-        if is_earlier && self.config_share.is_refuted(sent_at) {
+        if is_earlier && self.config_sync.is_refuted(sent_at) {
             return self.apply_refutation(read, sent_at);
         }
         // A read that a watch has overtaken holds what has been replaced since.
@@ -30,11 +30,11 @@
         self.set_config_revision(read.revision);
         if !is_earlier && sent_at >= self.read_at {
             self.read_at = sent_at;
-            self.config_share.record_read(self.config_revision);
+            self.config_sync.record_read(self.config_revision);
         }
         let is_new = config.is_some_and(|config| self.apply_stored(config, sent_at));
         if !is_earlier {
-            self.config_share.mark_confirmed();
+            self.config_sync.mark_confirmed();
         }
         self.prove(sent_at);
         is_new
@@ -56,8 +56,8 @@
     fn apply_refutation(&mut self, read: ConfigRead, sent_at: Tick) -> bool {
         let Some(config) = read.config else { return false };
         self.config_revision = read.revision;
-        self.config_share.record_read(read.revision);
-        self.config_share.mark_confirmed();
+        self.config_sync.record_read(read.revision);
+        self.config_sync.mark_confirmed();
         self.activate(config, sent_at);
         self.prove(sent_at);
         true
@@ -73,13 +73,13 @@
 
     /// Applies an update that a watch received. It proves nothing about later versions. Returns
     /// `true` if it came into force.
-    pub fn apply_update(&mut self, update: ConfigNews, now: Tick) -> bool {
+    pub fn apply_update(&mut self, update: ConfigUpdate, now: Tick) -> bool {
         if update.revision < self.config_revision {
             return false;
         }
         self.set_config_revision(update.revision);
         let is_new = self.apply_stored(update.config, now);
-        self.config_share.mark_confirmed();
+        self.config_sync.mark_confirmed();
         is_new
     }
 
@@ -90,11 +90,11 @@
             return false;
         }
         let Some(base) = self.config.clone().filter(|_| self.continues_from_known(delta)) else {
-            self.config_share.record_announced(delta.revision, self.config_revision, now);
+            self.config_sync.record_announced(delta.revision, self.config_revision, now);
             return false;
         };
         self.set_config_revision(delta.revision);
-        self.config_share.mark_unconfirmed(now);
+        self.config_sync.mark_unconfirmed(now);
         self.apply_version(delta.apply(&base), now)
     }
 
@@ -120,13 +120,13 @@
     /// Returns `true` if the configuration in force is known to be the one in the store.
     #[must_use]
     pub fn is_config_confirmed(&self) -> bool {
-        self.config_share.is_confirmed()
+        self.config_sync.is_confirmed()
     }
 
     /// Returns `true` if a change of the configuration was missed.
     #[must_use]
     pub fn is_config_behind(&self, now: Tick) -> bool {
-        self.config_share.is_behind(self.list_share.is_watching(), now)
+        self.config_sync.is_behind(self.target_list_sync.is_watching(), now)
     }
 
     fn apply_version(&mut self, config: RelayConfig, now: Tick) -> bool {
@@ -201,10 +201,10 @@
         }
         self.set_config_revision(copy.revision);
         let is_new = self.apply_version((*copy.config).clone(), now);
-        self.config_share.mark_unconfirmed(now);
-        let ahead = self.proof_share.take_ahead(copy.revision);
+        self.config_sync.mark_unconfirmed(now);
+        let ahead = self.proof_sync.take_ahead(copy.revision);
         if let Some(proof) = ahead.filter(|proof| proof.config_digest == self.config_digest) {
-            self.config_share.mark_confirmed();
+            self.config_sync.mark_confirmed();
             self.apply_evacuations(proof.evacuations, proof.proven_at, now);
             self.prove(proof.proven_at);
         }
@@ -220,26 +220,26 @@
     /// Records the revision of the configuration in force in the store.
     pub fn set_config_revision(&mut self, revision: StoreRevision) {
         self.config_revision = self.config_revision.max(revision);
-        self.config_share.record_own(self.config_revision);
+        self.config_sync.record_own(self.config_revision);
     }
 
     /// Returns `true` if this entry should call a store again that did not answer.
     #[must_use]
     pub fn should_probe_store(&self) -> bool {
-        ProofShare::should_probe(self.fleet_entries().unwrap_or(1), rand::random())
+        ProofSync::should_probe(self.fleet_entries().unwrap_or(1), rand::random())
     }
 
     /// Returns the entry whose proof should be requested, and the request. `None` if no entry with
     /// a proof that is enough newer is known.
-    pub fn request_proof(&mut self, now: Tick) -> Option<(SocketAddr, LoadNote)> {
+    pub fn request_proof(&mut self, now: Tick) -> Option<(SocketAddr, PeerMessage)> {
         let nonce = rand::random();
-        let address = self.proof_share.next_query(nonce, self.lease.proven_at()?, now)?;
-        Some((address, LoadNote::QueryProof { nonce }))
+        let address = self.proof_sync.next_query(nonce, self.lease.proven_at()?, now)?;
+        Some((address, PeerMessage::QueryProof { nonce }))
     }
 
     /// Answers another entry's request for a proof, `None` if this entry holds none.
     #[must_use]
-    pub fn answer_proof_request(&self, nonce: u64, now: Tick) -> Option<LoadNote> {
+    pub fn answer_proof_request(&self, nonce: u64, now: Tick) -> Option<PeerMessage> {
         const ROUNDING: u32 = 1;
         // A proof from the previous epoch of the store says nothing of a revision of this one.
         if self.proven_epoch != self.config_revision.epoch || !self.is_config_confirmed() {
@@ -248,7 +248,7 @@
         let age = self.lease.age(now).filter(|_| self.lease.is_held(now))?;
         let proof_age_ms = u32::try_from(age.as_millis()).ok()? + ROUNDING;
         let evacuated = self.evacuated_domains().cloned().collect();
-        Some(LoadNote::AnswerProof {
+        Some(PeerMessage::AnswerProof {
             nonce,
             revision: self.config_revision,
             config_digest: self.config_digest,
@@ -260,14 +260,14 @@
     /// Applies another entry's answer, and renews the lease if the answer proves the configuration
     /// in force.
     pub fn apply_proof(&mut self, proof: &PeerProof, now: Tick) -> PeerVerdict {
-        let verdict = self.proof_share.apply_answer(proof, self.config_revision);
+        let verdict = self.proof_sync.apply_answer(proof, self.config_revision);
         if let PeerVerdict::ProvenAt(at) = verdict {
             let is_same =
                 proof.revision == self.config_revision && proof.config_digest == self.config_digest;
             if !is_same && !self.is_config_confirmed() {
                 return PeerVerdict::Useless;
             }
-            self.config_share.mark_confirmed();
+            self.config_sync.mark_confirmed();
             self.apply_evacuations(proof.to_evacuations(), at, now);
             self.prove(at);
         }
--- a/src/relay/core/evacuation.rs
+++ b/src/relay/core/evacuation.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use super::RelayCore;
-use crate::relay::discovery::feed::EvacuationList;
+use crate::relay::discovery::source::EvacuationList;
 use crate::time::Tick;
 
 impl RelayCore {
--- a/src/relay/core/mod.rs
+++ b/src/relay/core/mod.rs
@@ -9,20 +9,20 @@
 use crate::relay::decide::evacuation::EvacuationSet;
 use crate::relay::decide::policy::RelayPolicy;
 use crate::relay::decide::quarantine::QuarantineLedger;
-use crate::relay::decide::rate_book::{RateBook, RateTold};
+use crate::relay::decide::rate_table::{AnnouncedRates, RateTable};
 use crate::relay::decide::retry_budget::{RetryBound, RetryBudget};
 use crate::relay::decide::service_scope::DomainSet;
 use crate::relay::decide::stream_load::StreamKey;
-use crate::relay::decide::targets::{ListChange, TargetLife, TargetSet};
+use crate::relay::decide::targets::{ListChange, TargetInstance, TargetSet};
 use crate::relay::decide::warmup::WarmupBound;
-use crate::relay::discovery::config_share::ConfigShare;
+use crate::relay::discovery::config_sync::ConfigSync;
 use crate::relay::discovery::freshness::{FreshnessLease, StalePolicy};
-use crate::relay::discovery::list_share::ListShare;
-use crate::relay::discovery::proof_share::ProofShare;
+use crate::relay::discovery::proof_sync::ProofSync;
 use crate::relay::discovery::rules::{Access, AccessFault, RelayConfig, RouteRule, RuleTable};
 use crate::relay::discovery::store_revision::StoreRevision;
+use crate::relay::discovery::target_list_sync::TargetListSync;
 use crate::relay::peers::config_copy::ConfigCopy;
-use crate::relay::peers::load_note::LoadNote;
+use crate::relay::peers::peer_message::PeerMessage;
 use crate::time::Tick;
 
 mod attempts;
@@ -88,11 +88,11 @@
 /// A sent attempt with the resources that it occupies at targets, which [`RelayCore::end_attempt`]
 /// releases.
 #[derive(Clone, Debug)]
-pub struct AttemptShare {
+pub struct PlacedAttempt {
     /// The target that answers.
     pub target: Arc<str>,
     /// The instance of that target, `None` if the target is no longer listed.
-    pub instance: Option<TargetLife>,
+    pub instance: Option<TargetInstance>,
     /// Whether targets crashed under this request before.
     pub is_suspect: bool,
     /// The targets that prefill shards of the prompt.
@@ -113,11 +113,11 @@
     /// Epoch of the store that last held these rules.
     rules_epoch: u64,
     lease: FreshnessLease,
-    proof_share: ProofShare,
-    list_share: ListShare,
+    proof_sync: ProofSync,
+    target_list_sync: TargetListSync,
     /// Revision of the configuration in the store.
     config_revision: StoreRevision,
-    config_share: ConfigShare,
+    config_sync: ConfigSync,
     /// Digest of the configuration in force.
     config_digest: u64,
     /// The newest configuration that this entry received from the store itself.
@@ -141,11 +141,11 @@
     budgets: HashMap<Arc<str>, RetryBudget>,
     /// Largest number of subscribed entries that any agent has reported.
     max_subscribers: Option<usize>,
-    outbox: Vec<LoadNote>,
+    outbox: Vec<PeerMessage>,
     quarantine: QuarantineLedger,
-    rates: RateBook,
+    rates: RateTable,
     /// What has been announced to agents about rates.
-    announced_rates: RateTold,
+    announced_rates: AnnouncedRates,
     /// Unix time of tick zero, in milliseconds.
     unix_origin_ms: u64,
 }
@@ -161,10 +161,10 @@
             next_number: 0,
             rules: Rc::default(),
             rules_epoch: 0,
-            proof_share: ProofShare::default(),
-            list_share: ListShare::default(),
+            proof_sync: ProofSync::default(),
+            target_list_sync: TargetListSync::default(),
             config_revision: StoreRevision::default(),
-            config_share: ConfigShare::default(),
+            config_sync: ConfigSync::default(),
             config_digest: 0,
             store_copy: None,
             read_at: Tick::default(),
@@ -179,8 +179,8 @@
             max_subscribers: None,
             outbox: Vec::new(),
             quarantine: QuarantineLedger::new(jitter_of(entry)),
-            rates: RateBook::default(),
-            announced_rates: RateTold::default(),
+            rates: RateTable::default(),
+            announced_rates: AnnouncedRates::default(),
             unix_origin_ms: 0,
         }
     }
@@ -325,21 +325,21 @@
     }
 
     /// Applies a message from an agent.
-    pub fn apply_message(&mut self, message: LoadNote, now: Tick) {
+    pub fn apply_message(&mut self, message: PeerMessage, now: Tick) {
         match message {
-            LoadNote::SubscriptionAck {
+            PeerMessage::SubscriptionAck {
                 target,
                 entries,
                 pace_percent,
                 proof_age_ms,
                 proof_from,
                 watchers,
-                list_mark,
-                config_mark,
+                watched_revision,
+                confirmed_revision,
             } => {
-                self.list_share.record_agent_report(watchers, list_mark, now);
-                if let Some(revision) = config_mark {
-                    self.config_share.record_announced(revision, self.config_revision, now);
+                self.target_list_sync.record_agent_report(watchers, watched_revision, now);
+                if let Some(revision) = confirmed_revision {
+                    self.config_sync.record_announced(revision, self.config_revision, now);
                 }
                 self.max_subscribers =
                     Some(self.max_subscribers.unwrap_or(0).max(entries as usize));
@@ -350,7 +350,7 @@
                     let proven_at = now - Duration::from_millis(age.into());
                     self.lease.record_other_proof(proven_at);
                     if let Some(address) = proof_from {
-                        self.proof_share.record_source(address, proven_at);
+                        self.proof_sync.record_source(address, proven_at);
                     }
                 }
                 if self.limits.policy.follows_pace
@@ -359,17 +359,17 @@
                     model.set_pace(f64::from(pace_percent) / 100.0);
                 }
             }
-            LoadNote::StreamPlaced { target, key, load } if key.entry != self.entry => {
+            PeerMessage::StreamPlaced { target, key, load } if key.entry != self.entry => {
                 if let Some(model) = self.model(&target) {
                     model.add(key, load, now);
                 }
             }
-            LoadNote::StreamEnded { target, key } if key.entry != self.entry => {
+            PeerMessage::StreamEnded { target, key } if key.entry != self.entry => {
                 if let Some(model) = self.model(&target) {
                     model.remove(key);
                 }
             }
-            LoadNote::EntryGone { target, entry } if entry != self.entry => {
+            PeerMessage::EntryGone { target, entry } if entry != self.entry => {
                 if let Some(model) = self.model(&target) {
                     model.remove_entry(entry);
                 }
@@ -383,7 +383,7 @@
     }
 
     /// Takes the messages that are to be sent to agents.
-    pub fn take_messages(&mut self) -> Vec<LoadNote> {
+    pub fn take_messages(&mut self) -> Vec<PeerMessage> {
         let messages = std::mem::take(&mut self.outbox);
         if self.limits.policy.sends_notes { messages } else { Vec::new() }
     }
--- a/src/relay/core/permits.rs
+++ b/src/relay/core/permits.rs
@@ -5,15 +5,15 @@
 use std::time::Duration;
 
 use super::RelayCore;
-use crate::relay::decide::permit_desk::{PermitAsk, PermitReply, WarmupNews};
+use crate::relay::decide::permit_issuer::{PermitReply, PermitRequest, WarmupUpdate};
 use crate::relay::decide::placement::Placement;
-use crate::relay::decide::rate_book::RateNews;
-use crate::relay::decide::rate_limit::{RateLimit, RateWord};
+use crate::relay::decide::rate_limit::{RateLimit, RateNotice};
+use crate::relay::decide::rate_table::RateUpdate;
 use crate::relay::decide::retry_budget::RetryBound;
-use crate::relay::decide::return_time::until_turn;
+use crate::relay::decide::retry_delay::until_permit;
 use crate::relay::decide::service_scope::ServiceScope;
-use crate::relay::decide::slack_gate::SlackAsk;
-use crate::relay::decide::target_state::{TargetLife, TargetState};
+use crate::relay::decide::shared_retry_budget::RetryGrantRequest;
+use crate::relay::decide::target_state::{TargetInstance, TargetState};
 use crate::time::Tick;
 
 /// Time after its permitted moment within which a request may be sent. A request that a slow
@@ -35,7 +35,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct PermitQuery {
     /// The request.
-    pub request: PermitAsk,
+    pub request: PermitRequest,
     /// When it is sent.
     pub requested_at: Tick,
     /// A target on the host of the agent to send it to, `None` if there is no agent.
@@ -44,9 +44,9 @@
 
 /// A request for a retry from the shared budget, and the agent to send it to.
 #[derive(Clone, Debug, PartialEq)]
-pub struct SlackQuery {
+pub struct RetryGrantQuery {
     /// The request.
-    pub request: SlackAsk,
+    pub request: RetryGrantRequest,
     /// A target on the host of the agent to send it to.
     pub agent_host: SocketAddr,
 }
@@ -70,15 +70,17 @@
     /// `sent_at`. With `None` for `sent_at`, an answer without a rate says nothing.
     pub fn apply_rate(
         &mut self,
-        instance: &TargetLife,
-        stated: RateWord,
+        instance: &TargetInstance,
+        stated: RateNotice,
         sent_at: Option<Tick>,
         now: Tick,
     ) {
         let is_changed = match stated {
-            RateWord::Absent => sent_at.is_some_and(|at| self.rates.record_no_limit(instance, at)),
-            RateWord::Unreadable => false,
-            RateWord::Limit(rate) => self.rates.record_limit(instance, rate, now),
+            RateNotice::Absent => {
+                sent_at.is_some_and(|at| self.rates.record_no_limit(instance, at))
+            }
+            RateNotice::Unreadable => false,
+            RateNotice::Limit(rate) => self.rates.record_limit(instance, rate, now),
         };
         if is_changed {
             self.update_rate_limits(now);
@@ -86,7 +88,7 @@
     }
 
     /// Applies an agent's rate updates.
-    pub fn apply_rates(&mut self, updates: &[RateNews], now: Tick) {
+    pub fn apply_rates(&mut self, updates: &[RateUpdate], now: Tick) {
         let mut is_changed = false;
         for update in updates {
             is_changed |= self.rates.apply_update(update, now);
@@ -97,17 +99,17 @@
     }
 
     /// Returns the rate updates that are due to be sent to agents.
-    pub fn to_rate_updates(&mut self, now: Tick) -> Vec<RateNews> {
+    pub fn to_rate_updates(&mut self, now: Tick) -> Vec<RateUpdate> {
         self.rates.to_updates(&mut self.announced_rates, now)
     }
 
     /// Returns updates for the agents that issue permits, each with the address of a target on the
     /// agent's host. Such an agent may have restarted and know no rate.
     #[must_use]
-    pub fn to_issuer_rates(&self, now: Tick) -> Vec<(SocketAddr, RateNews)> {
+    pub fn to_issuer_rates(&self, now: Tick) -> Vec<(SocketAddr, RateUpdate)> {
         let limited = self.targets.iter().filter(|target| target.rate.is_some());
         let updates = limited.filter_map(|target| {
-            let update = self.rates.to_update(&target.record.to_life(), now)?;
+            let update = self.rates.to_update(&target.record.to_instance(), now)?;
             Some((self.issuer_of(target, false)?, update))
         });
         updates.take(MAX_ISSUERS).collect()
@@ -124,7 +126,8 @@
     pub(super) fn update_rate_limits(&mut self, now: Tick) {
         for target in self.targets.iter_mut() {
             let is_known = !self.rates.is_empty();
-            let named = is_known.then(|| self.rates.rate_of(&target.record.to_life())).flatten();
+            let named =
+                is_known.then(|| self.rates.rate_of(&target.record.to_instance())).flatten();
             target.rate = RateLimit::lower(named, target.warmup(now).map(|(rate, _)| rate));
         }
     }
@@ -140,8 +143,8 @@
     ) -> Option<PermitQuery> {
         let target = self.targets.get(&placement.target)?;
         target.rate?;
-        let life = target.record.to_life();
-        let warmup = target.warmup(now).map(|(rate, left)| WarmupNews {
+        let life = target.record.to_instance();
+        let warmup = target.warmup(now).map(|(rate, left)| WarmupUpdate {
             rate,
             left_ms: left.as_millis().try_into().unwrap_or(u32::MAX),
         });
@@ -149,16 +152,21 @@
             Some(news) => news,
             None if warmup.is_none() => return None,
             // No rate is known: the maximum age keeps this from counting as an update.
-            None => RateNews { instance: life, rate: None, age_ms: u32::MAX },
+            None => RateUpdate { instance: life, rate: None, age_ms: u32::MAX },
         };
-        let is_second = target.permit_unanswered_at.is_some_and(|at| now.since(at) < FALLBACK_DURATION);
-        let ask = PermitAsk {
+        let is_second =
+            target.permit_unanswered_at.is_some_and(|at| now.since(at) < FALLBACK_DURATION);
+        let ask = PermitRequest {
             rate: news,
             warmup,
             max_wait_ms: max_wait.as_millis().try_into().unwrap_or(u32::MAX),
             is_second,
         };
-        Some(PermitQuery { request: ask, requested_at: now, agent_host: self.issuer_of(target, is_second) })
+        Some(PermitQuery {
+            request: ask,
+            requested_at: now,
+            agent_host: self.issuer_of(target, is_second),
+        })
     }
 
     /// Returns the time until a permit may be granted at a rate-limited target of a service that
@@ -169,12 +177,16 @@
         service: impl Into<ServiceScope<'a>>,
         now: Tick,
     ) -> Option<Duration> {
-        until_turn(&self.targets, service, now)
+        until_permit(&self.targets, service, now)
     }
 
     /// Returns the requests for a retry from the shared budget, to be sent to one agent after the
     /// other. `None` if the agents would refuse.
-    pub fn retry_grant_queries(&mut self, service: &Arc<str>, now: Tick) -> Option<Vec<SlackQuery>> {
+    pub fn retry_grant_queries(
+        &mut self,
+        service: &Arc<str>,
+        now: Tick,
+    ) -> Option<Vec<RetryGrantQuery>> {
         const MAX_AGENTS: usize = 2;
         if !self.budget(service).may_request(now) {
             return None;
@@ -185,8 +197,8 @@
         let hosts =
             self.ranked_hosts(|host| xxhash_rust::xxh3::xxh3_64_with_seed(host.as_bytes(), seed));
         let agents = [false, true].into_iter().zip(hosts.into_iter().take(MAX_AGENTS));
-        let to_query = |(is_second, beside)| SlackQuery {
-            request: SlackAsk { service: service.clone(), slack, window_ms, is_second },
+        let to_query = |(is_second, beside)| RetryGrantQuery {
+            request: RetryGrantRequest { service: service.clone(), slack, window_ms, is_second },
             agent_host: beside,
         };
         Some(agents.map(to_query).collect())
@@ -221,7 +233,7 @@
         if !is_second && beside.is_some() {
             return beside;
         }
-        let instance = target.record.to_life();
+        let instance = target.record.to_instance();
         let hosts = self.ranked_hosts(|host| {
             xxhash_rust::xxh3::xxh3_64_with_seed(host.as_bytes(), instance.seed())
         });
@@ -241,12 +253,12 @@
         if reply == Some(PermitReply::Open) {
             // An answer may have named a rate since the permit was requested.
             let age_ms = now.since(query.requested_at).as_millis().try_into().unwrap_or(u32::MAX);
-            let update = RateNews { rate: None, age_ms, ..query.request.rate.clone() };
+            let update = RateUpdate { rate: None, age_ms, ..query.request.rate.clone() };
             self.apply_rates(&[update], now);
             return PermitVerdict::SendWithin { from: now, until: Tick::NEVER };
         }
         let target = self.targets.get_mut(&instance.incarnation);
-        let Some(target) = target.filter(|target| target.record.to_life() == *instance) else {
+        let Some(target) = target.filter(|target| target.record.to_instance() == *instance) else {
             return PermitVerdict::PlaceAgain;
         };
         match reply {
--- a/src/relay/core/quarantine.rs
+++ b/src/relay/core/quarantine.rs
@@ -4,13 +4,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::{AttemptShare, RelayCore};
-use crate::relay::decide::hold_list::QuarantineRecord;
-use crate::relay::decide::quarantine::{QuarantineLedger, SuspectNews};
+use super::{PlacedAttempt, RelayCore};
+use crate::relay::decide::quarantine::{QuarantineLedger, SuspectReport};
+use crate::relay::decide::quarantine_list::QuarantineRecord;
 use crate::relay::decide::request_digest::RequestDigest;
-use crate::relay::decide::targets::{ListChange, TargetLife};
+use crate::relay::decide::targets::{ListChange, TargetInstance};
 use crate::relay::discovery::store_revision::StoreRevision;
-use crate::relay::peers::load_note::LoadNote;
+use crate::relay::peers::peer_message::PeerMessage;
 use crate::time::Tick;
 
 impl RelayCore {
@@ -31,19 +31,19 @@
 
     /// Returns the current instance of a target, `None` if the target is unknown.
     #[must_use]
-    pub fn instance_of(&self, target: &str) -> Option<TargetLife> {
-        self.targets.get(target).map(|target| target.record.to_life())
+    pub fn instance_of(&self, target: &str) -> Option<TargetInstance> {
+        self.targets.get(target).map(|target| target.record.to_instance())
     }
 
     /// Returns `true` if an instance of a target may still be running.
     #[must_use]
-    pub fn may_be_running(&self, instance: &TargetLife) -> bool {
+    pub fn may_be_running(&self, instance: &TargetInstance) -> bool {
         let is_listed = self.instance_of(&instance.incarnation).as_ref() == Some(instance);
         is_listed && !self.quarantine.has_crashed(instance)
     }
 
     /// Records that an attempt of a suspect was sent to its target.
-    pub fn mark_suspect(&mut self, attempt: &mut AttemptShare) {
+    pub fn mark_suspect(&mut self, attempt: &mut PlacedAttempt) {
         if let Some(instance) = &attempt.instance {
             self.quarantine.record_sent(instance);
             attempt.is_suspect = true;
@@ -60,16 +60,16 @@
     pub fn record_broken(
         &mut self,
         digest: RequestDigest,
-        instance: &TargetLife,
+        instance: &TargetInstance,
         settled: Duration,
         now: Tick,
     ) {
         let report = self.quarantine.record_broken(digest, instance, settled, now);
-        self.outbox.extend(report.map(LoadNote::RequestSuspected));
+        self.outbox.extend(report.map(PeerMessage::RequestSuspected));
     }
 
     /// Records that a target refuses connections. Returns `true` if that proves a crash.
-    pub fn record_unreachable(&mut self, instance: &TargetLife, now: Tick) -> bool {
+    pub fn record_unreachable(&mut self, instance: &TargetInstance, now: Tick) -> bool {
         let target = self.targets.get_mut(&instance.incarnation);
         let has_crashed = target.is_some_and(|target| target.record_unreachable(now));
         if has_crashed {
@@ -83,8 +83,9 @@
     pub fn record_exit(&mut self, host: IpAddr, next_ms: Option<u64>, now: Tick) {
         let engines = self.targets.iter().filter(|target| target.model.is_some());
         let on_host = engines.filter(|target| target.record.address.ip() == host);
-        let former = on_host.filter(|target| next_ms.is_none_or(|at| target.record.started_ms < at));
-        let instances: Vec<_> = former.map(|target| target.record.to_life()).collect();
+        let former =
+            on_host.filter(|target| next_ms.is_none_or(|at| target.record.started_ms < at));
+        let instances: Vec<_> = former.map(|target| target.record.to_instance()).collect();
         for instance in instances {
             self.record_crash(&instance, now);
         }
@@ -96,20 +97,20 @@
         }
     }
 
-    fn record_crash(&mut self, instance: &TargetLife, now: Tick) {
+    fn record_crash(&mut self, instance: &TargetInstance, now: Tick) {
         let reports = self.quarantine.record_crash(instance, now);
-        self.outbox.extend(reports.into_iter().map(LoadNote::RequestSuspected));
+        self.outbox.extend(reports.into_iter().map(PeerMessage::RequestSuspected));
     }
 
     /// Records that a target answered a request.
     pub fn record_answered(&mut self, digest: RequestDigest) {
         if self.quarantine.record_served(&digest) {
-            self.outbox.push(LoadNote::RequestCleared(digest));
+            self.outbox.push(PeerMessage::RequestCleared(digest));
         }
     }
 
     /// Applies an agent's report of a suspect.
-    pub fn apply_suspect_report(&mut self, report: &SuspectNews, now: Tick) {
+    pub fn apply_suspect_report(&mut self, report: &SuspectReport, now: Tick) {
         self.quarantine.apply_report(report, now);
     }
 
--- a/src/relay/core/target_list.rs
+++ b/src/relay/core/target_list.rs
@@ -7,9 +7,9 @@
 use crate::relay::decide::engine_subset::{SubsetQuery, mark_used};
 use crate::relay::decide::targets::{ListChange, TargetRecord};
 use crate::relay::decide::warmup::WarmupLimit;
-use crate::relay::discovery::feed::{TargetChange, TargetList};
-use crate::relay::discovery::list_share::{ListNews, ListShare, NewsVerdict};
+use crate::relay::discovery::source::{TargetChange, TargetList};
 use crate::relay::discovery::store_revision::StoreRevision;
+use crate::relay::discovery::target_list_sync::{TargetListSync, TargetListUpdate, UpdateVerdict};
 use crate::time::Tick;
 
 /// The result of one answer to a watch of the list.
@@ -42,7 +42,7 @@
         let change = self.targets.apply_list(records, is_after_outage, now);
         self.record_crashes(&change, now);
         if had_list && !change.is_empty() {
-            self.list_share.record_difference();
+            self.target_list_sync.record_difference();
         }
         self.set_engine_rates(now);
         self.choose_engines(now);
@@ -59,16 +59,21 @@
         is_after_outage: bool,
         known_at: Tick,
         now: Tick,
-    ) -> (ListChange, Option<ListNews>) {
+    ) -> (ListChange, Option<TargetListUpdate>) {
         let is_announced = self.targets.has_list() && !is_after_outage;
-        let since = self.list_share.changed_at();
+        let since = self.target_list_sync.changed_at();
         self.record_list(list.revision, list.changed_at);
         let change = self.apply_list(list.records, is_after_outage, now);
-        let mark = self.list_share.changed_at();
+        let mark = self.target_list_sync.changed_at();
         let is_announced = is_announced && !change.is_empty() && mark.epoch == since.epoch;
         let age_ms = to_age_ms(now.since(known_at));
         let changes = || self.to_changes(&change);
-        let update = is_announced.then(|| ListNews { since, revision: mark, age_ms, changes: changes() });
+        let update = is_announced.then(|| TargetListUpdate {
+            since,
+            revision: mark,
+            age_ms,
+            changes: changes(),
+        });
         (change, update)
     }
 
@@ -91,7 +96,7 @@
         let change = self.targets.expire(now);
         self.record_crashes(&change, now);
         if !change.is_empty() {
-            self.list_share.record_difference();
+            self.target_list_sync.record_difference();
         }
         self.expired.join(change);
     }
@@ -100,7 +105,8 @@
     pub fn choose_engines(&mut self, now: Tick) {
         self.update_rate_limits(now);
         let RelayLimits { failure_domain, policy, .. } = &self.limits;
-        let query = SubsetQuery { entry: self.entry, failure_domain, max_engines: policy.most_engines };
+        let query =
+            SubsetQuery { entry: self.entry, failure_domain, max_engines: policy.most_engines };
         let services: Vec<_> = self.engine_services().into_iter().collect();
         mark_used(&mut self.targets, &services, query, now);
     }
@@ -147,14 +153,14 @@
 
     /// Returns the state of the exchange of list changes between entries.
     #[must_use]
-    pub fn list_share(&self) -> &ListShare {
-        &self.list_share
+    pub fn target_list_sync(&self) -> &TargetListSync {
+        &self.target_list_sync
     }
 
     /// Records a list that was read and is current at `revision`. Its targets last changed at
     /// `changed_at`.
     pub fn record_list(&mut self, revision: StoreRevision, changed_at: StoreRevision) {
-        self.list_share.record_list(revision, changed_at);
+        self.target_list_sync.record_list(revision, changed_at);
     }
 
     /// Applies changes that this entry's own watch received. Returns the change, and the update to
@@ -164,14 +170,15 @@
         watched: WatchedChanges,
         is_after_outage: bool,
         now: Tick,
-    ) -> (ListChange, Option<ListNews>) {
+    ) -> (ListChange, Option<TargetListUpdate>) {
         let WatchedChanges { changes, revision: mark, known_at, .. } = watched;
         if changes.is_empty() {
             return (ListChange::default(), None);
         }
-        let known = self.list_share.known_up_to();
+        let known = self.target_list_sync.known_up_to();
         // Of two consecutive revisions the earlier one is the safer start.
-        let since = if known > watched.since { self.list_share.changed_at() } else { watched.since };
+        let since =
+            if known > watched.since { self.target_list_sync.changed_at() } else { watched.since };
         let is_new = |revision: StoreRevision| revision > known || revision.number == 0;
         let is_announced = |(revision, change): &&(StoreRevision, TargetChange)| {
             // Some stores name no own revision for a removal.
@@ -181,36 +188,41 @@
             changes.iter().filter(is_announced).map(|(_, change)| change.clone()).collect();
         let changes: Vec<_> = changes.into_iter().map(|(_, change)| change).collect();
         let change = self.apply_changes(&changes, is_after_outage.then_some(known_at), now);
-        self.list_share.record_watched(mark);
+        self.target_list_sync.record_watched(mark);
         let age_ms = to_age_ms(now.since(known_at));
-        let update = (mark > known).then_some(ListNews { since, revision: mark, age_ms, changes: announced });
+        let update = (mark > known).then_some(TargetListUpdate {
+            since,
+            revision: mark,
+            age_ms,
+            changes: announced,
+        });
         (change, update)
     }
 
     /// Records that all changes of the list up to `revision` have been announced to other entries.
     pub fn record_list_announced(&mut self, revision: StoreRevision) {
-        self.list_share.record_announced(revision);
+        self.target_list_sync.record_announced(revision);
     }
 
     /// Records that the store has no changes of the list up to `revision` that are unknown here.
     pub fn record_caught_up(&mut self, revision: StoreRevision) {
-        self.list_share.record_caught_up(revision);
+        self.target_list_sync.record_caught_up(revision);
     }
 
     /// Applies changes that another entry announced. Each entry decides for itself whether the
     /// store was unreachable, since the store may have refused only the other one.
     pub fn apply_list_update(
         &mut self,
-        update: &ListNews,
+        update: &TargetListUpdate,
         is_after_outage: bool,
         now: Tick,
     ) -> ListChange {
-        match self.list_share.apply_update(update, now) {
-            NewsVerdict::Next => {
+        match self.target_list_sync.apply_update(update, now) {
+            UpdateVerdict::Next => {
                 let known_at = now - Duration::from_millis(update.age_ms.into());
                 self.apply_changes(&update.changes, is_after_outage.then_some(known_at), now)
             }
-            NewsVerdict::Known | NewsVerdict::Gap => ListChange::default(),
+            UpdateVerdict::Known | UpdateVerdict::Gap => ListChange::default(),
         }
     }
 
@@ -232,13 +244,17 @@
 
     /// Decides periodically whether this entry watches the list. Returns `true` if that changed.
     pub fn decide_watching(&mut self, now: Tick) -> bool {
-        if self.list_share.choose_initial_watchers(self.targets.iter().count(), rand::random(), now) {
+        if self.target_list_sync.choose_initial_watchers(
+            self.targets.iter().count(),
+            rand::random(),
+            now,
+        ) {
             return true;
         }
         let engines = || self.targets.iter().filter(|target| target.model.is_some());
         let used = engines().filter(|target| target.is_used).count();
         let used_fraction = used as f64 / engines().count().max(1) as f64;
         let entries = self.fleet_entries().unwrap_or(1);
-        self.list_share.decide_watching(used_fraction, entries, rand::random(), now)
+        self.target_list_sync.decide_watching(used_fraction, entries, rand::random(), now)
     }
 }
--- a/src/relay/counts.rs
+++ b/src/relay/counts.rs
@@ -5,8 +5,8 @@
 use prometheus::{HistogramVec, IntCounterVec, IntGauge};
 
 use super::core::RelayCore;
-use super::decide::permit_desk::PermitReply;
-use super::decide::rate_limit::RateWord;
+use super::decide::permit_issuer::PermitReply;
+use super::decide::rate_limit::RateNotice;
 use super::decide::target_notice::TargetNotice;
 use super::record::RequestEnd;
 use crate::metrics::{CountMirror, MetricsPage, length_class};
@@ -165,7 +165,7 @@
         let kinds = [
             ("leaving", notice.is_leaving),
             ("backoff", notice.backoff.is_some()),
-            ("rate", notice.rate != RateWord::Absent),
+            ("rate", notice.rate != RateNotice::Absent),
         ];
         for (kind, _) in kinds.into_iter().filter(|(_, is_present)| *is_present) {
             self.notices.with_label_values(&[kind]).inc();
--- a/src/relay/decide/end_tracker.rs
+++ b/src/relay/decide/crash_tracker.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use super::request_digest::RequestDigest;
-use super::targets::TargetLife;
+use super::targets::TargetInstance;
 use crate::time::Tick;
 
 /// Maximum time between a broken attempt and the confirmation that its target crashed:
@@ -29,7 +29,7 @@
 #[derive(Debug)]
 struct BrokenAttempt {
     digest: RequestDigest,
-    instance: TargetLife,
+    instance: TargetInstance,
     at: Tick,
 }
 
@@ -37,7 +37,7 @@
 #[derive(Debug, Default)]
 pub struct CrashTracker {
     broken: VecDeque<BrokenAttempt>,
-    crashed: VecDeque<(TargetLife, Tick)>,
+    crashed: VecDeque<(TargetInstance, Tick)>,
 }
 
 impl CrashTracker {
@@ -48,7 +48,7 @@
     pub fn record_broken(
         &mut self,
         digest: RequestDigest,
-        instance: &TargetLife,
+        instance: &TargetInstance,
         streamed_for: Duration,
         now: Tick,
     ) -> bool {
@@ -69,7 +69,7 @@
     /// Records that an instance ended without announcing its shutdown.
     ///
     /// Returns the requests whose attempts broke there.
-    pub fn record_crash(&mut self, instance: &TargetLife, now: Tick) -> Vec<RequestDigest> {
+    pub fn record_crash(&mut self, instance: &TargetInstance, now: Tick) -> Vec<RequestDigest> {
         self.expire(now);
         if !self.has_crashed(instance) {
             self.crashed.push_back((instance.clone(), now));
@@ -85,7 +85,7 @@
 
     /// Returns `true` if the instance is known to have crashed recently.
     #[must_use]
-    pub fn has_crashed(&self, instance: &TargetLife) -> bool {
+    pub fn has_crashed(&self, instance: &TargetInstance) -> bool {
         self.crashed.iter().any(|(crashed, _)| crashed == instance)
     }
 
--- a/src/relay/decide/group_search.rs
+++ b/src/relay/decide/group_search.rs
@@ -268,7 +268,8 @@
             let more_free = (capacity - active) as i32 - 1;
             cost += policy.near_full_cost * policy.near_full_decay.powi(more_free);
         }
-        if active < capacity && need.prompt_tokens <= SHORT_TOKENS && decoder.target.rate.is_none() {
+        if active < capacity && need.prompt_tokens <= SHORT_TOKENS && decoder.target.rate.is_none()
+        {
             let packed = active.min(capacity - capacity / policy.kept_free_divisor);
             cost -= policy.packing_gain * packed as f32;
             cost += policy.spread * self.query.preference(&record.incarnation);
--- a/src/relay/decide/permit_desk.rs
+++ b/src/relay/decide/permit_issuer.rs
@@ -10,9 +10,9 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::rate_book::{RateBook, RateNews, RateTold};
 use super::rate_limit::RateLimit;
-use super::target_state::TargetLife;
+use super::rate_table::{AnnouncedRates, RateTable, RateUpdate};
+use super::target_state::TargetInstance;
 use crate::time::Tick;
 
 /// Maximum number of targets for which one agent issues permits.
@@ -31,13 +31,13 @@
 
 /// An entry's request for a permit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct PermitAsk {
+pub struct PermitRequest {
     /// What the entry knows about the target's rate, as the agent may have restarted since.
     #[serde(rename = "r")]
-    pub rate: RateNews,
+    pub rate: RateUpdate,
     /// The limit of the target while it is cold.
     #[serde(rename = "c", default, skip_serializing_if = "Option::is_none")]
-    pub warmup: Option<WarmupNews>,
+    pub warmup: Option<WarmupUpdate>,
     /// Maximum time that the request would wait for its permit, in milliseconds.
     #[serde(rename = "w")]
     pub max_wait_ms: u32,
@@ -48,7 +48,7 @@
 
 /// What an entry knows about a cold target.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct WarmupNews {
+pub struct WarmupUpdate {
     /// Requests per second that the target accepts from all entries together.
     #[serde(rename = "r")]
     pub rate: RateLimit,
@@ -127,12 +127,12 @@
 
 /// Issues the permits of an agent, by the rate limits that it knows.
 #[derive(Debug, Default)]
-pub struct PermitDesk {
-    rates: RateBook,
+pub struct PermitIssuer {
+    rates: RateTable,
     /// Schedules by target instance, and whether this is its second agent.
-    schedules: HashMap<(TargetLife, bool), PermitSchedule>,
+    schedules: HashMap<(TargetInstance, bool), PermitSchedule>,
     /// Targets that an entry has reported as cold.
-    cold: HashMap<TargetLife, ColdTarget>,
+    cold: HashMap<TargetInstance, ColdTarget>,
 }
 
 #[derive(Debug)]
@@ -141,9 +141,9 @@
     until: Tick,
 }
 
-impl PermitDesk {
+impl PermitIssuer {
     /// Answers the request of an entry.
-    pub fn on_request(&mut self, request: &PermitAsk, now: Tick) -> PermitReply {
+    pub fn on_request(&mut self, request: &PermitRequest, now: Tick) -> PermitReply {
         self.rates.apply_update(&request.rate, now);
         let instance = &request.rate.instance;
         if let Some(warmup) = request.warmup {
@@ -155,7 +155,7 @@
     }
 
     /// Counts a request that an entry had to send without a permit against the schedule.
-    pub fn record_unpermitted(&mut self, instance: &TargetLife, now: Tick) {
+    pub fn record_unpermitted(&mut self, instance: &TargetInstance, now: Tick) {
         if let Some(rate) = self.rate_of(instance, now) {
             let schedule = self.schedule(instance, false, rate, now);
             schedule.next_at = schedule.next_at.max(now - schedule.interval) + schedule.interval;
@@ -169,14 +169,14 @@
     }
 
     /// Applies the rate limits that an entry knows.
-    pub fn apply_updates(&mut self, updates: &[RateNews], now: Tick) {
+    pub fn apply_updates(&mut self, updates: &[RateUpdate], now: Tick) {
         for update in updates {
             self.rates.apply_update(update, now);
         }
     }
 
     /// Returns the updates for the next message to an entry, and records them in `announced`.
-    pub fn to_updates(&mut self, announced: &mut RateTold, now: Tick) -> Vec<RateNews> {
+    pub fn to_updates(&mut self, announced: &mut AnnouncedRates, now: Tick) -> Vec<RateUpdate> {
         self.rates.to_updates(announced, now)
     }
 
@@ -192,13 +192,13 @@
 
     /// Returns the limit of a target: the one that it states or, while it is cold, its warm-up
     /// rate, whichever is lower.
-    fn rate_of(&self, instance: &TargetLife, now: Tick) -> Option<RateLimit> {
+    fn rate_of(&self, instance: &TargetInstance, now: Tick) -> Option<RateLimit> {
         let cold = self.cold.get(instance).filter(|cold| now < cold.until);
         RateLimit::lower(self.rates.rate_of(instance), cold.map(|cold| cold.rate))
     }
 
     /// Records a cold target. Its limit also binds entries that do not know that it is cold.
-    fn record_cold(&mut self, instance: &TargetLife, warmup: WarmupNews, now: Tick) {
+    fn record_cold(&mut self, instance: &TargetInstance, warmup: WarmupUpdate, now: Tick) {
         if self.cold.len() >= MAX_SCHEDULES && !self.cold.contains_key(instance) {
             self.cold.retain(|_, cold| now < cold.until);
         }
@@ -210,7 +210,7 @@
 
     fn schedule(
         &mut self,
-        instance: &TargetLife,
+        instance: &TargetInstance,
         is_second: bool,
         rate: RateLimit,
         now: Tick,
--- a/src/relay/decide/placement.rs
+++ b/src/relay/decide/placement.rs
@@ -141,7 +141,7 @@
 
 /// Whether a request may wait for a permit at a rate-limited target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TurnPolicy {
+pub enum PermitPolicy {
     /// The request goes only to targets that may have a permit now.
     Immediate,
     /// The request waits for a permit, since no other target takes it.
@@ -158,7 +158,7 @@
     /// Targets that the request may go to.
     pub scope: TargetScope<'a>,
     /// Whether the request may wait for a permit.
-    pub permit: TurnPolicy,
+    pub permit: PermitPolicy,
     /// Incarnation of this entry.
     pub entry: u64,
     /// Weights and switches of the decision.
@@ -214,7 +214,8 @@
     /// prompt waits no longer than its limit for the first event: a late prompt loses little by
     /// each further step, and would be delayed until its deadline.
     fn is_worth_waiting(&self, need: &PromptNeed, step: Duration, policy: &RelayPolicy) -> bool {
-        let has_time = self.first_event + step < need.time_left && need.waited < need.first_event_limit;
+        let has_time =
+            self.first_event + step < need.time_left && need.waited < need.first_event_limit;
         if need.prompt_tokens <= SHORT_TOKENS || !has_time {
             return false;
         }
@@ -283,8 +284,8 @@
     now: Tick,
 ) -> Vec<&'a TargetState> {
     let is_accepting = |target: &&TargetState| match query.permit {
-        TurnPolicy::Immediate => target.is_usable(now),
-        TurnPolicy::MayWait => target.is_accepting(now),
+        PermitPolicy::Immediate => target.is_usable(now),
+        PermitPolicy::MayWait => target.is_accepting(now),
     };
     let accepting = query.service.targets(set).filter(is_accepting);
     let in_scope: Vec<_> = accepting.filter(|target| query.scope.contains(target)).collect();
--- a/src/relay/decide/quarantine.rs
+++ b/src/relay/decide/quarantine.rs
@@ -16,10 +16,10 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::end_tracker::CrashTracker;
-use super::hold_list::{CrashSource, QuarantineList, QuarantineRecord};
+use super::crash_tracker::CrashTracker;
+use super::quarantine_list::{CrashSource, QuarantineList, QuarantineRecord};
 use super::request_digest::RequestDigest;
-use super::targets::TargetLife;
+use super::targets::TargetInstance;
 use crate::time::Tick;
 
 /// Number of crashes at which a request is quarantined: a bystander shares one crash with
@@ -53,19 +53,19 @@
 
 /// The target instances that crashed under a request, as exchanged between processes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SuspectNews {
+pub struct SuspectReport {
     /// The request.
     #[serde(rename = "d")]
     pub digest: RequestDigest,
     /// The instances.
     #[serde(rename = "l")]
-    pub instances: Vec<TargetLife>,
+    pub instances: Vec<TargetInstance>,
 }
 
 /// A request under which targets crashed.
 #[derive(Debug)]
 struct SuspectState {
-    instances: Vec<TargetLife>,
+    instances: Vec<TargetInstance>,
     recorded_at: Tick,
     /// Which process observed the last crash.
     source: CrashSource,
@@ -78,7 +78,7 @@
     suspects: HashMap<RequestDigest, SuspectState>,
     quarantined: QuarantineList,
     /// Number of open attempts of suspects, by target instance.
-    open_attempts: HashMap<TargetLife, usize>,
+    open_attempts: HashMap<TargetInstance, usize>,
     /// When the crashes recorded so far are next evaluated.
     decide_at: Option<Tick>,
 }
@@ -106,10 +106,10 @@
     pub fn record_broken(
         &mut self,
         digest: RequestDigest,
-        instance: &TargetLife,
+        instance: &TargetInstance,
         streamed_for: Duration,
         now: Tick,
-    ) -> Option<SuspectNews> {
+    ) -> Option<SuspectReport> {
         let is_crash = self.tracker.record_broken(digest, instance, streamed_for, now);
         is_crash.then(|| self.record_crash_under(digest, instance, now)).flatten()
     }
@@ -117,7 +117,7 @@
     /// Records that a target instance ended without announcing its shutdown.
     ///
     /// Returns the reports to send to other processes about the requests that it ran.
-    pub fn record_crash(&mut self, instance: &TargetLife, now: Tick) -> Vec<SuspectNews> {
+    pub fn record_crash(&mut self, instance: &TargetInstance, now: Tick) -> Vec<SuspectReport> {
         let digests = self.tracker.record_crash(instance, now);
         digests
             .into_iter()
@@ -127,12 +127,12 @@
 
     /// Returns `true` if the instance is known to have crashed recently.
     #[must_use]
-    pub fn has_crashed(&self, instance: &TargetLife) -> bool {
+    pub fn has_crashed(&self, instance: &TargetInstance) -> bool {
         self.tracker.has_crashed(instance)
     }
 
     /// Applies a report of another process.
-    pub fn apply_report(&mut self, report: &SuspectNews, now: Tick) {
+    pub fn apply_report(&mut self, report: &SuspectReport, now: Tick) {
         for instance in report.instances.iter().take(MAX_INSTANCES) {
             self.add_instance(report.digest, instance, CrashSource::Peer, now);
         }
@@ -161,12 +161,12 @@
     }
 
     /// Records that an attempt of a suspect was sent to a target.
-    pub fn record_sent(&mut self, instance: &TargetLife) {
+    pub fn record_sent(&mut self, instance: &TargetInstance) {
         *self.open_attempts.entry(instance.clone()).or_default() += 1;
     }
 
     /// Records that an attempt of a suspect at a target is over.
-    pub fn record_finished(&mut self, instance: &TargetLife) {
+    pub fn record_finished(&mut self, instance: &TargetInstance) {
         if let Some(count) = self.open_attempts.get_mut(instance) {
             *count -= 1;
             if *count == 0 {
@@ -176,7 +176,7 @@
     }
 
     /// Returns the targets that run an attempt of a suspect.
-    pub fn suspect_targets(&self) -> impl Iterator<Item = &TargetLife> {
+    pub fn suspect_targets(&self) -> impl Iterator<Item = &TargetInstance> {
         self.open_attempts.keys()
     }
 
@@ -227,22 +227,22 @@
 
     /// Returns what is known about a request; `None` if no target crashed under it.
     #[must_use]
-    pub fn report_on(&self, digest: RequestDigest) -> Option<SuspectNews> {
+    pub fn report_on(&self, digest: RequestDigest) -> Option<SuspectReport> {
         let suspected = self.suspects.get(&digest).map(|state| &*state.instances);
         let instances = suspected.or_else(|| self.quarantined.instances_of(&digest))?;
-        Some(SuspectNews { digest, instances: instances.to_vec() })
+        Some(SuspectReport { digest, instances: instances.to_vec() })
     }
 
     /// Returns the report about a request that all processes receive; `None` if too little is
     /// known. One crash is no evidence against any of the requests that ran there.
     #[must_use]
-    pub fn shareable_report(&self, digest: RequestDigest) -> Option<SuspectNews> {
+    pub fn shareable_report(&self, digest: RequestDigest) -> Option<SuspectReport> {
         self.report_on(digest).filter(|report| report.instances.len() >= MIN_REPORTED_CRASHES)
     }
 
     /// Returns the reports for a process that has just started, on the newest suspects.
     #[must_use]
-    pub fn to_reports(&self) -> Vec<SuspectNews> {
+    pub fn to_reports(&self) -> Vec<SuspectReport> {
         let mut suspects: Vec<_> = self.suspects.iter().collect();
         suspects.sort_by_key(|(digest, state)| (Reverse(state.recorded_at), **digest));
         let reports = suspects.into_iter().filter_map(|(digest, _)| self.shareable_report(*digest));
@@ -253,9 +253,9 @@
     fn record_crash_under(
         &mut self,
         digest: RequestDigest,
-        instance: &TargetLife,
+        instance: &TargetInstance,
         now: Tick,
-    ) -> Option<SuspectNews> {
+    ) -> Option<SuspectReport> {
         let is_new = self.add_instance(digest, instance, CrashSource::Local, now);
         is_new.then(|| self.report_on(digest)).flatten()
     }
@@ -266,7 +266,7 @@
     fn add_instance(
         &mut self,
         digest: RequestDigest,
-        instance: &TargetLife,
+        instance: &TargetInstance,
         source: CrashSource,
         now: Tick,
     ) -> bool {
@@ -285,7 +285,7 @@
     fn add_suspect_instance(
         &mut self,
         digest: RequestDigest,
-        instance: &TargetLife,
+        instance: &TargetInstance,
         source: CrashSource,
         now: Tick,
     ) -> bool {
--- a/src/relay/decide/hold_list.rs
+++ b/src/relay/decide/quarantine_list.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::request_digest::RequestDigest;
-use super::targets::TargetLife;
+use super::targets::TargetInstance;
 use crate::time::Tick;
 
 /// Initial duration of a quarantine, doubled each time that the request crashes a target
@@ -74,7 +74,7 @@
     since: Tick,
     expires_at: Tick,
     /// The instances whose crashes are attributed to the request.
-    instances: Vec<TargetLife>,
+    instances: Vec<TargetInstance>,
     /// Which process observed the last crash.
     source: CrashSource,
     /// Whether a target crashed under the request after its quarantine had expired.
@@ -84,7 +84,7 @@
 }
 
 impl QuarantineState {
-    fn new(record: QuarantineRecord, instances: Vec<TargetLife>, now: Tick) -> Self {
+    fn new(record: QuarantineRecord, instances: Vec<TargetInstance>, now: Tick) -> Self {
         QuarantineState {
             record,
             since: now,
@@ -142,13 +142,13 @@
     /// Returns the instances that crashed under a request; `None` if the list does not hold
     /// the request.
     #[must_use]
-    pub fn instances_of(&self, digest: &RequestDigest) -> Option<&[TargetLife]> {
+    pub fn instances_of(&self, digest: &RequestDigest) -> Option<&[TargetInstance]> {
         self.states.get(digest).map(|state| &*state.instances)
     }
 
     /// Returns `true` if the crash of an instance is attributed to a request of the list.
     #[must_use]
-    pub fn explains(&self, instance: &TargetLife) -> bool {
+    pub fn explains(&self, instance: &TargetInstance) -> bool {
         self.states.values().any(|state| state.instances.contains(instance))
     }
 
@@ -158,7 +158,7 @@
     pub fn add_instance(
         &mut self,
         digest: &RequestDigest,
-        instance: &TargetLife,
+        instance: &TargetInstance,
         max: usize,
         source: CrashSource,
         now: Tick,
@@ -177,7 +177,7 @@
     pub fn quarantine(
         &mut self,
         digest: RequestDigest,
-        instances: Vec<TargetLife>,
+        instances: Vec<TargetInstance>,
         source: CrashSource,
         now: Tick,
     ) {
@@ -200,7 +200,7 @@
         &mut self,
         digest: RequestDigest,
         renewals: u32,
-        instances: Vec<TargetLife>,
+        instances: Vec<TargetInstance>,
         source: CrashSource,
         now: Tick,
     ) {
@@ -231,7 +231,7 @@
         records: &[QuarantineRecord],
         unix_ms: u64,
         now: Tick,
-        mut instances_of: impl FnMut(&RequestDigest) -> Vec<TargetLife>,
+        mut instances_of: impl FnMut(&RequestDigest) -> Vec<TargetInstance>,
     ) {
         for record in records {
             self.apply_record(*record, unix_ms, now, &mut instances_of);
@@ -257,7 +257,7 @@
         record: QuarantineRecord,
         unix_ms: u64,
         now: Tick,
-        instances_of: &mut impl FnMut(&RequestDigest) -> Vec<TargetLife>,
+        instances_of: &mut impl FnMut(&RequestDigest) -> Vec<TargetInstance>,
     ) {
         let known = self.states.get(&record.digest);
         if known.is_some_and(|state| state.record.renewals > record.renewals) {
--- a/src/relay/decide/rate_limit.rs
+++ b/src/relay/decide/rate_limit.rs
@@ -58,7 +58,7 @@
 
 /// What an answer states about the rate limit of its target.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum RateWord {
+pub enum RateNotice {
     /// The answer states no limit.
     #[default]
     Absent,
@@ -68,27 +68,27 @@
     Limit(RateLimit),
 }
 
-impl RateWord {
+impl RateNotice {
     /// Parses the values of an answer; the lowest of several limits applies.
     ///
     /// # Example
     ///
     /// ```
-    /// use shalelane::relay::decide::rate_limit::RateWord;
+    /// use shalelane::relay::decide::rate_limit::RateNotice;
     ///
-    /// assert_eq!(RateWord::from_texts([]), RateWord::Absent);
-    /// assert_eq!(RateWord::from_texts(["soon"]), RateWord::Unreadable);
-    /// assert_eq!(RateWord::from_texts(["3", "2"]), RateWord::from_texts(["2.0"]));
+    /// assert_eq!(RateNotice::from_texts([]), RateNotice::Absent);
+    /// assert_eq!(RateNotice::from_texts(["soon"]), RateNotice::Unreadable);
+    /// assert_eq!(RateNotice::from_texts(["3", "2"]), RateNotice::from_texts(["2.0"]));
     /// ```
     pub fn from_texts<'a>(texts: impl IntoIterator<Item = &'a str>) -> Self {
-        let mut notice = RateWord::Absent;
+        let mut notice = RateNotice::Absent;
         for text in texts {
             let rate = text.trim().parse().ok().and_then(RateLimit::from_per_second);
             notice = match (notice, rate) {
-                (RateWord::Limit(known), Some(rate)) if known <= rate => RateWord::Limit(known),
-                (_, Some(rate)) => RateWord::Limit(rate),
-                (RateWord::Limit(known), None) => RateWord::Limit(known),
-                (_, None) => RateWord::Unreadable,
+                (RateNotice::Limit(known), Some(rate)) if known <= rate => RateNotice::Limit(known),
+                (_, Some(rate)) => RateNotice::Limit(rate),
+                (RateNotice::Limit(known), None) => RateNotice::Limit(known),
+                (_, None) => RateNotice::Unreadable,
             };
         }
         notice
@@ -98,8 +98,8 @@
     #[must_use]
     pub fn rate(self) -> Option<RateLimit> {
         match self {
-            RateWord::Limit(rate) => Some(rate),
-            RateWord::Absent | RateWord::Unreadable => None,
+            RateNotice::Limit(rate) => Some(rate),
+            RateNotice::Absent | RateNotice::Unreadable => None,
         }
     }
 }
--- a/src/relay/decide/rate_book.rs
+++ b/src/relay/decide/rate_table.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::rate_limit::RateLimit;
-use super::target_state::TargetLife;
+use super::target_state::TargetInstance;
 use crate::time::Tick;
 
 /// Maximum number of targets in the table.
@@ -37,10 +37,10 @@
 
 /// Update of a target's rate limit, as exchanged between processes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct RateNews {
+pub struct RateUpdate {
     /// The target.
     #[serde(rename = "l")]
-    pub instance: TargetLife,
+    pub instance: TargetInstance,
     /// The limit; `None` if the target states none any more.
     #[serde(rename = "r")]
     pub rate: Option<RateLimit>,
@@ -55,28 +55,28 @@
     at: Tick,
 }
 
-/// Which change of a [`RateBook`] was announced to another process, and in how many rounds.
+/// Which change of a [`RateTable`] was announced to another process, and in how many rounds.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct RateTold {
+pub struct AnnouncedRates {
     change: u64,
     rounds: u32,
 }
 
 /// The latest known rate limit of each target.
 #[derive(Debug, Default)]
-pub struct RateBook {
-    known: HashMap<TargetLife, KnownRate>,
+pub struct RateTable {
+    known: HashMap<TargetInstance, KnownRate>,
     /// Number of changes that had to be announced at once.
     change: u64,
     /// Position of the first target in the next message, as not all may fit into one.
     cursor: usize,
 }
 
-impl RateBook {
+impl RateTable {
     /// Records a limit that an answer states.
     ///
     /// Returns `true` if the limit is new.
-    pub fn record_limit(&mut self, instance: &TargetLife, rate: RateLimit, now: Tick) -> bool {
+    pub fn record_limit(&mut self, instance: &TargetInstance, rate: RateLimit, now: Tick) -> bool {
         self.put(instance, KnownRate { rate: Some(rate), at: now })
     }
 
@@ -84,7 +84,7 @@
     ///
     /// Returns `true` if that ends a known limit. Answers may overtake one another, so only a
     /// request that was sent later than the limit was learned ends it.
-    pub fn record_no_limit(&mut self, instance: &TargetLife, sent_at: Tick) -> bool {
+    pub fn record_no_limit(&mut self, instance: &TargetInstance, sent_at: Tick) -> bool {
         let known = self.known.get_mut(instance);
         let ended = known.filter(|known| known.rate.is_some() && known.at < sent_at);
         let Some(ended) = ended else { return false };
@@ -96,7 +96,7 @@
     /// Applies an update of another process.
     ///
     /// Returns `true` if it changes the limit of the target.
-    pub fn apply_update(&mut self, update: &RateNews, now: Tick) -> bool {
+    pub fn apply_update(&mut self, update: &RateUpdate, now: Tick) -> bool {
         let at = now - Duration::from_millis(update.age_ms.into());
         let new = KnownRate { rate: update.rate, at };
         match self.known.get(&update.instance) {
@@ -110,7 +110,7 @@
 
     /// Returns the limit of a target; `None` if it has none.
     #[must_use]
-    pub fn rate_of(&self, instance: &TargetLife) -> Option<RateLimit> {
+    pub fn rate_of(&self, instance: &TargetInstance) -> Option<RateLimit> {
         self.known.get(instance)?.rate
     }
 
@@ -123,19 +123,19 @@
 
     /// Returns what is known about one target, as an update; `None` if nothing is.
     #[must_use]
-    pub fn to_update(&self, instance: &TargetLife, now: Tick) -> Option<RateNews> {
+    pub fn to_update(&self, instance: &TargetInstance, now: Tick) -> Option<RateUpdate> {
         let known = self.known.get(instance)?;
         let age_ms = now.since(known.at).as_millis().try_into().unwrap_or(u32::MAX);
-        Some(RateNews { instance: instance.clone(), rate: known.rate, age_ms })
+        Some(RateUpdate { instance: instance.clone(), rate: known.rate, age_ms })
     }
 
     /// Returns the updates for the next message to a process, and records them in `announced`.
     ///
     /// Changes are announced at once, and all known limits from time to time. Targets that do not fit
     /// into one message are in the next.
-    pub fn to_updates(&mut self, announced: &mut RateTold, now: Tick) -> Vec<RateNews> {
+    pub fn to_updates(&mut self, announced: &mut AnnouncedRates, now: Tick) -> Vec<RateUpdate> {
         if announced.change != self.change {
-            *announced = RateTold { change: self.change, rounds: 0 };
+            *announced = AnnouncedRates { change: self.change, rounds: 0 };
         }
         announced.rounds += 1;
         let rounds = announced.rounds;
@@ -173,7 +173,7 @@
         self.known.is_empty()
     }
 
-    fn put(&mut self, instance: &TargetLife, new: KnownRate) -> bool {
+    fn put(&mut self, instance: &TargetInstance, new: KnownRate) -> bool {
         if self.known.len() >= MAX_KNOWN && !self.known.contains_key(instance) {
             let oldest = self.known.iter().min_by_key(|(_, known)| known.at);
             if let Some(oldest) = oldest.map(|(instance, _)| instance.clone()) {
--- a/src/relay/decide/return_time.rs
+++ b/src/relay/decide/retry_delay.rs
@@ -64,7 +64,7 @@
 /// Time until a rate-limited target that accepts requests may have a permit; zero if it may
 /// have one now, `None` if there is no such target.
 #[must_use]
-pub fn until_turn<'a>(
+pub fn until_permit<'a>(
     set: &TargetSet,
     service: impl Into<ServiceScope<'a>>,
     now: Tick,
--- a/src/relay/decide/slack_gate.rs
+++ b/src/relay/decide/shared_retry_budget.rs
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::permit_desk::PermitReply;
+use super::permit_issuer::PermitReply;
 use crate::time::Tick;
 
 /// Share of the shared retries that the first agent grants in a window.
@@ -29,7 +29,7 @@
 
 /// An entry's request for a retry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct SlackAsk {
+pub struct RetryGrantRequest {
     /// The service.
     #[serde(rename = "s")]
     pub service: Arc<str>,
@@ -52,15 +52,15 @@
 
 /// The retries that an agent may still grant: a token bucket for each service.
 #[derive(Debug, Default)]
-pub struct SlackGate {
+pub struct SharedRetryBudget {
     buckets: HashMap<(Arc<str>, bool), RetryBucket>,
     /// Time since which all grants are known.
     known_since: Tick,
 }
 
-impl SlackGate {
+impl SharedRetryBudget {
     /// Answers the request of an entry.
-    pub fn on_request(&mut self, request: &SlackAsk, now: Tick) -> PermitReply {
+    pub fn on_request(&mut self, request: &RetryGrantRequest, now: Tick) -> PermitReply {
         let (share, start) =
             if request.is_second { (SECOND_SHARE, 0.0) } else { (FIRST_SHARE, START_SHARE) };
         let window = f64::from(request.window_ms.max(1)) / 1e3;
@@ -81,7 +81,7 @@
         PermitReply::Granted { after_ms: 0 }
     }
 
-    fn bucket(&mut self, request: &SlackAsk, start: f64, now: Tick) -> &mut RetryBucket {
+    fn bucket(&mut self, request: &RetryGrantRequest, start: f64, now: Tick) -> &mut RetryBucket {
         let key = (request.service.clone(), request.is_second);
         if self.buckets.len() >= MAX_SERVICES && !self.buckets.contains_key(&key) {
             let idle = self.buckets.iter().min_by_key(|(_, bucket)| bucket.filled_at);
--- a/src/relay/decide/target_notice.rs
+++ b/src/relay/decide/target_notice.rs
@@ -6,8 +6,8 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use super::rate_limit::RateWord;
-use super::target_state::{TargetLife, TargetRecord};
+use super::rate_limit::RateNotice;
+use super::target_state::{TargetInstance, TargetRecord};
 use crate::relay::discovery::store_revision::StoreRevision;
 use crate::time::Tick;
 
@@ -31,7 +31,7 @@
     /// Time for which this process must not send it further requests.
     pub backoff: Option<Duration>,
     /// The rate limit that it applies to all entries together.
-    pub rate: RateWord,
+    pub rate: RateNotice,
     /// Time for which it is cold, zero if it states that it is warm.
     pub warmup: Option<Duration>,
 }
@@ -46,14 +46,14 @@
 
 /// What a target has stated in all its answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct KeptNotice {
+pub struct NoticeState {
     /// Whether the target is leaving.
     pub is_leaving: bool,
     /// When the target accepts requests again.
     pub backoff_until: Tick,
 }
 
-impl KeptNotice {
+impl NoticeState {
     /// Merges the notice of one more answer. Nothing is withdrawn, as answers may overtake one
     /// another.
     pub fn merge(&mut self, notice: &TargetNotice, now: Tick) {
@@ -67,20 +67,20 @@
 /// A target that is no longer listed.
 #[derive(Debug)]
 struct RemovedTarget {
-    notice: KeptNotice,
+    notice: NoticeState,
     listed_at: StoreRevision,
     removed_at: Tick,
 }
 
 /// The notices of targets that are no longer listed.
 #[derive(Debug, Default)]
-pub struct NoticeMemory {
-    removed: HashMap<TargetLife, RemovedTarget>,
+pub struct NoticeCache {
+    removed: HashMap<TargetInstance, RemovedTarget>,
 }
 
-impl NoticeMemory {
+impl NoticeCache {
     /// Stores the notice of a target that is no longer listed.
-    pub fn insert(&mut self, record: &TargetRecord, notice: KeptNotice, now: Tick) {
+    pub fn insert(&mut self, record: &TargetRecord, notice: NoticeState, now: Tick) {
         self.expire(now);
         if self.removed.len() >= MAX_REMOVED {
             let oldest = self.removed.iter().min_by_key(|(_, removed)| removed.removed_at);
@@ -90,14 +90,14 @@
         }
         let listed_at = record.listed_at;
         let removed = RemovedTarget { notice, listed_at, removed_at: now };
-        self.removed.insert(record.to_life(), removed);
+        self.removed.insert(record.to_instance(), removed);
     }
 
     /// Removes and returns the stored notice of a target that is listed again.
-    pub fn restore(&mut self, record: &TargetRecord, now: Tick) -> KeptNotice {
+    pub fn restore(&mut self, record: &TargetRecord, now: Tick) -> NoticeState {
         self.expire(now);
-        let Some(removed) = self.removed.remove(&record.to_life()) else {
-            return KeptNotice::default();
+        let Some(removed) = self.removed.remove(&record.to_instance()) else {
+            return NoticeState::default();
         };
         let mut notice = removed.notice;
         if record.listed_at.is_copy_of(removed.listed_at) {
--- a/src/relay/decide/target_state.rs
+++ b/src/relay/decide/target_state.rs
@@ -10,7 +10,7 @@
 use super::engine_rates::EngineRates;
 use super::pass_model::PassModel;
 use super::rate_limit::RateLimit;
-use super::target_notice::{KeptNotice, TargetNotice};
+use super::target_notice::{NoticeState, TargetNotice};
 use super::warmup::{WarmupLimit, WarmupState};
 use crate::relay::discovery::store_revision::StoreRevision;
 use crate::time::Tick;
@@ -37,7 +37,7 @@
 
 /// One instance of a target, from its start to its end.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct TargetLife {
+pub struct TargetInstance {
     /// Name under which the target is listed. A target may keep it when it restarts.
     #[serde(rename = "i")]
     pub incarnation: Arc<str>,
@@ -46,7 +46,7 @@
     pub started_ms: u64,
 }
 
-impl TargetLife {
+impl TargetInstance {
     /// A hash of the instance that is the same in all processes.
     #[must_use]
     pub fn seed(&self) -> u64 {
@@ -90,8 +90,8 @@
 impl TargetRecord {
     /// The listed instance.
     #[must_use]
-    pub fn to_life(&self) -> TargetLife {
-        TargetLife { incarnation: self.incarnation.clone(), started_ms: self.started_ms }
+    pub fn to_instance(&self) -> TargetInstance {
+        TargetInstance { incarnation: self.incarnation.clone(), started_ms: self.started_ms }
     }
 
     /// Remaining warm-up time, if the list provides it.
@@ -144,7 +144,7 @@
     ejections: u32,
     ejected_until: Tick,
     /// State that its answers announced.
-    pub(super) announced: KeptNotice,
+    pub(super) announced: NoticeState,
     /// Rate that the target accepts from all entries together, if it is rate-limited.
     pub rate: Option<RateLimit>,
     /// Rate limit during its warm-up.
@@ -178,7 +178,7 @@
             failures: 0,
             ejections: 0,
             ejected_until: Tick::default(),
-            announced: KeptNotice::default(),
+            announced: NoticeState::default(),
             rate: None,
             warmup_limit: None,
             warmup: WarmupState::default(),
@@ -273,8 +273,8 @@
 
     /// The instance that crashed if the target vanishes now; `None` if it has announced that it
     /// leaves.
-    pub(super) fn to_crashed(&self) -> Option<TargetLife> {
-        (!self.is_leaving()).then(|| self.record.to_life())
+    pub(super) fn to_crashed(&self) -> Option<TargetInstance> {
+        (!self.is_leaving()).then(|| self.record.to_instance())
     }
 
     /// Returns `true` while the target is ejected after failures.
--- a/src/relay/decide/targets.rs
+++ b/src/relay/decide/targets.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::target_notice::NoticeMemory;
-pub use super::target_state::{TargetFault, TargetLife, TargetRecord, TargetState};
+use super::target_notice::NoticeCache;
+pub use super::target_state::{TargetFault, TargetInstance, TargetRecord, TargetState};
 use crate::relay::discovery::store_revision::StoreRevision;
 use crate::time::Tick;
 
@@ -22,7 +22,7 @@
     targets: BTreeMap<Arc<str>, TargetState>,
     has_list: bool,
     /// Announcements of targets that are no longer listed.
-    notices: NoticeMemory,
+    notices: NoticeCache,
     /// Failure domains that are out of service.
     evacuated: BTreeSet<Arc<str>>,
 }
@@ -39,7 +39,7 @@
     /// Targets that restarted under the same name.
     pub restarted: Vec<Arc<str>>,
     /// Instances that ended without announcing it.
-    pub crashed: Vec<TargetLife>,
+    pub crashed: Vec<TargetInstance>,
 }
 
 impl ListChange {
--- a/src/relay/decide/warmup.rs
+++ b/src/relay/decide/warmup.rs
@@ -9,7 +9,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::permit_desk::{COMBINED_FACTOR, EXTRA_PERMITS};
+use super::permit_issuer::{COMBINED_FACTOR, EXTRA_PERMITS};
 use super::rate_limit::RateLimit;
 use crate::time::Tick;
 
--- a/src/relay/discovery/config_delta.rs
+++ b/src/relay/discovery/config_delta.rs
@@ -7,7 +7,7 @@
 
 use super::rules::{AccountRule, CallerLimits, RelayConfig, RouteRule, ServiceRule};
 use super::store_revision::StoreRevision;
-use crate::relay::decide::hold_list::QuarantineRecord;
+use crate::relay::decide::quarantine_list::QuarantineRecord;
 
 /// Host and path prefix of a route.
 type RouteKey = (Arc<str>, Arc<str>);
--- a/src/relay/discovery/config_share.rs
+++ b/src/relay/discovery/config_sync.rs
@@ -26,7 +26,7 @@
 
 /// What this entry knows about the configuration of other entries.
 #[derive(Debug, Default)]
-pub struct ConfigShare {
+pub struct ConfigSync {
     /// Newest revision that is known to exist.
     newest_announced: StoreRevision,
     /// When that revision was first known to be newer than the local one.
@@ -35,7 +35,7 @@
     unconfirmed_since: Option<Tick>,
 }
 
-impl ConfigShare {
+impl ConfigSync {
     /// Records that another entry has a revision; `own` is the local one.
     pub fn record_announced(&mut self, revision: StoreRevision, own: StoreRevision, now: Tick) {
         self.newest_announced = self.newest_announced.max(revision);
--- a/src/relay/discovery/follow_config.rs
+++ b/src/relay/discovery/follow_config.rs
@@ -4,15 +4,15 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use super::feed::{ConfigRead, ConfigWatch, PlatformFeed};
-use super::list_share::NewsTeller;
-use super::proof_share::{PeerVerdict, ProofShare};
+use super::proof_sync::{PeerVerdict, ProofSync};
+use super::source::{ConfigRead, ConfigWatch, DiscoverySource};
 use super::store_revision::StoreRevision;
-use super::watch_pace::{NEWS_STEP, WatchEnd, delay_after};
+use super::target_list_sync::UpdateAnnouncer;
+use super::watch_timing::{MIN_WATCH_INTERVAL, WatchEnd, delay_after};
 use crate::error::{Error, Result};
 use crate::relay::counts::StoreCall;
 use crate::relay::peers::config_copy::fetch_copy;
-use crate::relay::peers::load_note::LoadNote;
+use crate::relay::peers::peer_message::PeerMessage;
 use crate::relay::shared::RelayShared;
 use crate::time::Tick;
 
@@ -30,13 +30,13 @@
 const TURNED_AWAY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Follows the configuration for as long as the process runs.
-pub(crate) async fn follow_config(shared: Rc<RelayShared>, source: Rc<PlatformFeed>) {
+pub(crate) async fn follow_config(shared: Rc<RelayShared>, source: Rc<DiscoverySource>) {
     let mut is_reachable = true;
     let mut watcher: Option<ConfigWatcher> = None;
     loop {
         // If the watch has ended, or belongs to the store before it was restored from a backup, a
         // read comes first.
-        let is_watcher = shared.core.borrow().list_share().is_watching();
+        let is_watcher = shared.core.borrow().target_list_sync().is_watching();
         watcher = watcher.filter(|watch| is_watcher && watch.is_open(&shared));
         let has_updates = watcher.is_some() || !is_watcher;
         let may_share = is_reachable && has_updates && shared.knows_config(shared.now());
@@ -80,7 +80,7 @@
             shared.report_suspects();
             shared.finish_start();
             watcher = watcher.filter(|watch| watch.is_open(&shared) && !is_hung);
-            if shared.core.borrow().list_share().is_watching() {
+            if shared.core.borrow().target_list_sync().is_watching() {
                 watcher.get_or_insert_with(|| ConfigWatcher::start(&shared, &source, starts_at));
             }
         }
@@ -94,7 +94,7 @@
 /// Applies the domains and returns the configuration.
 pub(super) async fn read_proof(
     shared: &RelayShared,
-    source: &PlatformFeed,
+    source: &DiscoverySource,
 ) -> Result<Option<ConfigRead>> {
     let sent_at = shared.now();
     let known = {
@@ -143,7 +143,7 @@
         return shared.now() + TURNED_AWAY_INTERVAL;
     }
     let lease = core.lease();
-    lease.proven_at().unwrap_or(shared.now()) + ProofShare::refresh_age(lease.duration())
+    lease.proven_at().unwrap_or(shared.now()) + ProofSync::refresh_age(lease.duration())
 }
 
 /// The result of querying another entry for its proof.
@@ -227,10 +227,14 @@
 fn announce_change(shared: &RelayShared) {
     let delta = shared.core.borrow_mut().take_config_change();
     let core = shared.core.borrow();
-    let share = core.list_share();
+    let share = core.target_list_sync();
     let is_announcer = share.is_watching() && share.should_announce(rand::random());
     let Some(delta) = delta.filter(|_| is_announcer) else { return };
-    if !shared.link.broadcast(&core, &LoadNote::ConfigChanged(Box::new(delta)), NewsTeller::AllWatchers) {
+    if !shared.link.broadcast(
+        &core,
+        &PeerMessage::ConfigChanged(Box::new(delta)),
+        UpdateAnnouncer::AllWatchers,
+    ) {
         slog::debug!(shared.log.logger(), "configuration update too long to be announced");
     }
 }
@@ -243,7 +247,7 @@
 }
 
 impl ConfigWatcher {
-    fn start(shared: &Rc<RelayShared>, source: &Rc<PlatformFeed>, after: StoreRevision) -> Self {
+    fn start(shared: &Rc<RelayShared>, source: &Rc<DiscoverySource>, after: StoreRevision) -> Self {
         let task = tokio::task::spawn_local(watch_config(shared.clone(), source.clone(), after));
         ConfigWatcher { task, epoch: after.epoch }
     }
@@ -272,7 +276,7 @@
 /// history. A watch that ends without a change proves nothing.
 async fn watch_config(
     shared: Rc<RelayShared>,
-    source: Rc<PlatformFeed>,
+    source: Rc<DiscoverySource>,
     mut revision: StoreRevision,
 ) {
     let (reason, lasted) = loop {
@@ -289,7 +293,7 @@
                 if update.is_some() {
                     *shared.config_update.borrow_mut() = update;
                     shared.config_changed.notify_one();
-                    tokio::time::sleep(NEWS_STEP).await;
+                    tokio::time::sleep(MIN_WATCH_INTERVAL).await;
                 }
             }
             Ok(ConfigWatch::Forgotten) => {
--- a/src/relay/discovery/follow_quarantine.rs
+++ b/src/relay/discovery/follow_quarantine.rs
@@ -4,8 +4,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use super::feed::{PlatformFeed, WriteEnd};
 use super::follow_config::read_proof;
+use super::source::{DiscoverySource, WriteOutcome};
 use crate::relay::counts::StoreCall;
 use crate::relay::shared::RelayShared;
 use crate::time::Tick;
@@ -15,7 +15,7 @@
 const WRITE_DELAY: Duration = Duration::from_millis(100);
 
 /// Writes due changes for as long as the process runs.
-pub(crate) async fn follow_quarantine(shared: Rc<RelayShared>, source: Rc<PlatformFeed>) {
+pub(crate) async fn follow_quarantine(shared: Rc<RelayShared>, source: Rc<DiscoverySource>) {
     loop {
         let due = shared.core.borrow().quarantine().quarantined().write_due();
         wait_until(&shared, due).await;
@@ -32,7 +32,7 @@
     drop(tokio::time::timeout(due.since(shared.now()), notified).await);
 }
 
-async fn write_changes(shared: &RelayShared, source: &PlatformFeed) {
+async fn write_changes(shared: &RelayShared, source: &DiscoverySource) {
     let now = shared.now();
     let revision = shared.core.borrow().config_revision();
     let records = shared.core.borrow_mut().quarantine_to_write(now);
@@ -40,14 +40,15 @@
     let result = (source.write_quarantine)(revision, records.clone()).await;
     shared.counts.borrow().record_store_call(StoreCall::QuarantineWrite);
     match result {
-        Ok(WriteEnd::Done(revision)) => {
+        Ok(WriteOutcome::Done(revision)) => {
             shared.record_epoch(revision.epoch);
-            let is_known = shared.core.borrow_mut().record_written(&records, revision, shared.now());
+            let is_known =
+                shared.core.borrow_mut().record_written(&records, revision, shared.now());
             if !is_known {
                 reload(shared, source).await;
             }
         }
-        Ok(WriteEnd::Conflict) => reload(shared, source).await,
+        Ok(WriteOutcome::Conflict) => reload(shared, source).await,
         Err(error) => {
             shared.counts.borrow_mut().store_failures += 1;
             shared.log.dependency_changed("quarantine in the store", false, &error.to_string());
@@ -56,7 +57,7 @@
 }
 
 /// Reads the conflicting state; records that are still missing are written later.
-async fn reload(shared: &RelayShared, source: &PlatformFeed) {
+async fn reload(shared: &RelayShared, source: &DiscoverySource) {
     let sent_at = shared.now();
     match read_proof(shared, source).await {
         Ok(Some(read)) => {
--- a/src/relay/discovery/follow_targets.rs
+++ b/src/relay/discovery/follow_targets.rs
@@ -5,13 +5,13 @@
 
 use tokio::sync::watch;
 
-use super::feed::{PlatformFeed, TargetWatch};
-use super::list_share::{ListNews, NewsTeller};
+use super::source::{DiscoverySource, TargetWatch};
 use super::store_revision::StoreRevision;
-use super::watch_pace::{MAX_WATCH_WAIT, list_rest};
+use super::target_list_sync::{TargetListUpdate, UpdateAnnouncer};
+use super::watch_timing::{MAX_WATCH_WAIT, list_watch_delay};
 use crate::relay::core::target_list::WatchedChanges;
 use crate::relay::counts::StoreCall;
-use crate::relay::peers::load_note::LoadNote;
+use crate::relay::peers::peer_message::PeerMessage;
 use crate::relay::shared::RelayShared;
 use crate::time::Tick;
 
@@ -42,7 +42,7 @@
 }
 
 /// Follows the target list for as long as the process runs.
-pub(crate) async fn follow_targets(shared: Rc<RelayShared>, source: Rc<PlatformFeed>) {
+pub(crate) async fn follow_targets(shared: Rc<RelayShared>, source: Rc<DiscoverySource>) {
     let mut received_at = shared.now();
     let mut known_at = received_at;
     let mut outages = shared.store_recoveries.subscribe();
@@ -79,10 +79,10 @@
 /// next position, `None` if the list has to be read again.
 async fn receive_changes(
     shared: &RelayShared,
-    source: &PlatformFeed,
+    source: &DiscoverySource,
     position: ListPosition,
 ) -> Option<ListPosition> {
-    let is_watching = shared.core.borrow().list_share().is_watching();
+    let is_watching = shared.core.borrow().target_list_sync().is_watching();
     let watch = async {
         if is_watching {
             return watch_once(shared, source, position).await;
@@ -92,12 +92,12 @@
     tokio::select! {
         next = watch => next,
         () = shared.list_due.notified() => {
-            let is_behind = shared.core.borrow().list_share().is_behind(shared.now());
+            let is_behind = shared.core.borrow().target_list_sync().is_behind(shared.now());
             // All changes up to this revision are known.
             let next = {
                 let core = shared.core.borrow();
-                let revision = position.revision.max(core.list_share().known_up_to());
-                let unchanged_since = position.unchanged_since.max(core.list_share().changed_at());
+                let revision = position.revision.max(core.target_list_sync().known_up_to());
+                let unchanged_since = position.unchanged_since.max(core.target_list_sync().changed_at());
                 ListPosition { revision, unchanged_since, ..position }
             };
             match (is_behind, is_watching) {
@@ -114,20 +114,20 @@
 /// each page. Returns the next position, `None` if the list has to be read again.
 async fn catch_up(
     shared: &RelayShared,
-    source: &PlatformFeed,
+    source: &DiscoverySource,
     position: ListPosition,
 ) -> Option<ListPosition> {
     let next = watch_for(shared, source, position, CATCH_UP_TIMEOUT).await?;
     // Earlier changes would have been returned at once.
     shared.core.borrow_mut().record_caught_up(next.revision);
-    let is_behind = shared.core.borrow().list_share().is_behind(shared.now());
+    let is_behind = shared.core.borrow().target_list_sync().is_behind(shared.now());
     (!is_behind).then_some(next)
 }
 
 /// Reads the whole list. Returns the position up to which it is known, `None` if that failed.
 async fn read_list(
     shared: &RelayShared,
-    source: &PlatformFeed,
+    source: &DiscoverySource,
     received_at: Tick,
     known_at: Tick,
 ) -> Option<ListPosition> {
@@ -169,7 +169,7 @@
 /// again.
 async fn watch_once(
     shared: &RelayShared,
-    source: &PlatformFeed,
+    source: &DiscoverySource,
     position: ListPosition,
 ) -> Option<ListPosition> {
     watch_for(shared, source, position, shared.watch_timeout()).await
@@ -177,7 +177,7 @@
 
 async fn watch_for(
     shared: &RelayShared,
-    source: &PlatformFeed,
+    source: &DiscoverySource,
     position: ListPosition,
     wait: Duration,
 ) -> Option<ListPosition> {
@@ -200,12 +200,13 @@
             let is_late = now.since(started_at) > REPORT_DELAY;
             let known_at = if is_late { now - REPORT_DELAY } else { known_at };
             let is_changed = !changes.is_empty();
-            let watched = WatchedChanges { changes, since: unchanged_since, revision: next, known_at };
+            let watched =
+                WatchedChanges { changes, since: unchanged_since, revision: next, known_at };
             let (change, update) =
                 shared.core.borrow_mut().apply_watched(watched, is_after_outage, now);
             shared.log.targets_changed(&change);
             // Most entries of a large fleet stop watching once they know its targets.
-            follow_list_share(shared, now);
+            update_watching(shared, now);
             if let Some(update) = update {
                 announce_update(shared, update);
             }
@@ -224,15 +225,19 @@
 }
 
 /// Sends changes to other entries, if this entry is a watcher that announces changes.
-fn announce_update(shared: &RelayShared, update: ListNews) {
+fn announce_update(shared: &RelayShared, update: TargetListUpdate) {
     let mut core = shared.core.borrow_mut();
-    let share = core.list_share();
+    let share = core.target_list_sync();
     if !share.is_watching() || !share.should_announce(rand::random()) {
         return;
     }
     let (count, revision) = (update.changes.len(), update.revision);
     // Others may wait between two answers, and would see the change later.
-    if !shared.link.broadcast(&core, &LoadNote::TargetListChanged(update), NewsTeller::OneEntry) {
+    if !shared.link.broadcast(
+        &core,
+        &PeerMessage::TargetListChanged(update),
+        UpdateAnnouncer::OneEntry,
+    ) {
         slog::debug!(shared.log.logger(), "target list update too long to be announced";
             "changes" => count);
     }
@@ -242,18 +247,18 @@
 /// Returns the delay before the next answer of the watch is requested.
 fn watch_delay(shared: &RelayShared, now: Tick) -> Duration {
     // Ticks count from the start of the process.
-    list_rest(now.since(Tick::default()), shared.core.borrow().limits().drain_bound)
+    list_watch_delay(now.since(Tick::default()), shared.core.borrow().limits().drain_bound)
 }
 
 /// Decides whether this entry watches for others, and wakes the tasks that follow the store if they
 /// have to act on it.
-pub(crate) fn follow_list_share(shared: &RelayShared, now: Tick) {
+pub(crate) fn update_watching(shared: &RelayShared, now: Tick) {
     let mut core = shared.core.borrow_mut();
     let is_changed = core.decide_watching(now);
     if is_changed {
-        shared.log.watching_changed(core.list_share().is_watching());
+        shared.log.watching_changed(core.target_list_sync().is_watching());
     }
-    if is_changed || core.list_share().is_behind(now) {
+    if is_changed || core.target_list_sync().is_behind(now) {
         shared.list_due.notify_one();
     }
     if is_changed || core.is_config_behind(now) {
--- a/src/relay/discovery/proof_share.rs
+++ b/src/relay/discovery/proof_sync.rs
@@ -19,7 +19,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::feed::EvacuationList;
+use super::source::EvacuationList;
 use super::store_revision::StoreRevision;
 use crate::time::Tick;
 
@@ -97,7 +97,7 @@
 
 /// The entry with the best known proof, and the open query.
 #[derive(Debug, Default)]
-pub struct ProofShare {
+pub struct ProofSync {
     best: Option<ProofSource>,
     query: Option<OpenQuery>,
     /// A proof of a later configuration than the local one.
@@ -110,7 +110,7 @@
     proof: AdoptedProof,
 }
 
-impl ProofShare {
+impl ProofSync {
     /// Returns the age at which a proof that lasts for `duration` is to be renewed.
     #[must_use]
     pub fn refresh_age(duration: Duration) -> Duration {
--- a/src/relay/discovery/rules.rs
+++ b/src/relay/discovery/rules.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::relay::decide::engine_rates::EngineRates;
-use crate::relay::decide::hold_list::QuarantineRecord;
+use crate::relay::decide::quarantine_list::QuarantineRecord;
 use crate::relay::decide::warmup::WarmupRule;
 
 /// Whether and how a request of a route may be sent again.
--- a/src/relay/discovery/feed.rs
+++ b/src/relay/discovery/source.rs
@@ -10,7 +10,7 @@
 use super::rules::RelayConfig;
 use super::store_revision::StoreRevision;
 use crate::Result;
-use crate::relay::decide::hold_list::QuarantineRecord;
+use crate::relay::decide::quarantine_list::QuarantineRecord;
 use crate::relay::decide::targets::TargetRecord;
 
 /// A read of the configuration.
@@ -28,7 +28,7 @@
 
 /// A change of the configuration that a watch reported.
 #[derive(Debug)]
-pub struct ConfigNews {
+pub struct ConfigUpdate {
     /// Revision of the object.
     pub revision: StoreRevision,
     /// The configuration.
@@ -41,7 +41,7 @@
 #[derive(Debug)]
 pub enum ConfigWatch {
     /// The newest change, if any, up to a revision of the store.
-    Changes(Option<Box<ConfigNews>>, StoreRevision),
+    Changes(Option<Box<ConfigUpdate>>, StoreRevision),
     /// The store has forgotten changes since the start position: it has to be read again.
     Forgotten,
 }
@@ -88,7 +88,7 @@
 
 /// The answer to a watch of the list.
 #[derive(Debug)]
-pub struct TargetNews {
+pub struct TargetUpdate {
     /// The events in order, each with its revision.
     pub events: Vec<(StoreRevision, TargetEvent)>,
     /// Revision to continue from.
@@ -104,7 +104,7 @@
     Unreadable(UnreadableEntry),
 }
 
-impl TargetNews {
+impl TargetUpdate {
     /// Splits the answer into changes, each with its revision, and the store entries that can not
     /// be read. Such an entry describes no target, so a target that was listed under its name is
     /// removed.
@@ -127,7 +127,7 @@
 
 /// The result of a write that is conditional on the known revision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WriteEnd {
+pub enum WriteOutcome {
     /// It is done, and the object has this revision.
     Done(StoreRevision),
     /// The object has another revision: it has to be read again.
@@ -149,7 +149,7 @@
 #[derive(Debug)]
 pub enum TargetWatch {
     /// The changes.
-    Changes(TargetNews),
+    Changes(TargetUpdate),
     /// The store has forgotten changes since the start position: the list has to be read again.
     Forgotten,
 }
@@ -157,7 +157,7 @@
 type StoreFuture<T> = LocalBoxFuture<'static, Result<T>>;
 
 /// The operations on the platform's store.
-pub struct PlatformFeed {
+pub struct DiscoverySource {
     /// Reads the configuration linearizably; the argument is the known revision. Returns `None` if
     /// there is no configuration yet.
     pub read_config: Box<dyn Fn(StoreRevision) -> StoreFuture<Option<ConfigRead>>>,
@@ -171,5 +171,5 @@
     pub watch_targets: Box<dyn Fn(StoreRevision, Duration) -> StoreFuture<TargetWatch>>,
     /// Writes the quarantined requests, beside the configuration of a revision.
     pub write_quarantine:
-        Box<dyn Fn(StoreRevision, Vec<QuarantineRecord>) -> StoreFuture<WriteEnd>>,
+        Box<dyn Fn(StoreRevision, Vec<QuarantineRecord>) -> StoreFuture<WriteOutcome>>,
 }
--- a/src/relay/discovery/list_share.rs
+++ b/src/relay/discovery/target_list_sync.rs
@@ -19,7 +19,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::feed::TargetChange;
+use super::source::TargetChange;
 use super::store_revision::StoreRevision;
 use crate::time::Tick;
 
@@ -62,14 +62,14 @@
 
 /// Which entries announce a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NewsTeller {
+pub enum UpdateAnnouncer {
     /// All watchers announce it at the same moment.
     AllWatchers,
     /// Only this entry announces it: others wait between two answers, or did not watch.
     OneEntry,
 }
 
-impl NewsTeller {
+impl UpdateAnnouncer {
     /// Number of agents that relay an update, for an entry that uses `used` of all `engines`. An
     /// agent reaches the entries that use its engine: the larger the fleet, the smaller that
     /// fraction.
@@ -77,8 +77,8 @@
     pub fn relay_agents(self, used: usize, engines: usize) -> usize {
         let reach = used.max(1) as f64 / engines.max(1) as f64;
         let copies = match self {
-            NewsTeller::AllWatchers => COPIES_PER_ENTRY * JOINT_FRACTION,
-            NewsTeller::OneEntry => COPIES_PER_ENTRY,
+            UpdateAnnouncer::AllWatchers => COPIES_PER_ENTRY * JOINT_FRACTION,
+            UpdateAnnouncer::OneEntry => COPIES_PER_ENTRY,
         };
         ((copies / reach).ceil() as usize).max(MIN_RELAY_AGENTS)
     }
@@ -86,7 +86,7 @@
 
 /// Changes of the target list that one entry sends to others.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ListNews {
+pub struct TargetListUpdate {
     /// Revision of the last change before these.
     #[serde(rename = "s")]
     pub since: StoreRevision,
@@ -103,7 +103,7 @@
 
 /// How an update relates to what the receiver knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NewsVerdict {
+pub enum UpdateVerdict {
     /// It continues from the known revision.
     Next,
     /// All of it is known.
@@ -114,7 +114,7 @@
 
 /// What this entry knows of the list, and whether it watches it.
 #[derive(Debug)]
-pub struct ListShare {
+pub struct TargetListSync {
     is_watching: bool,
     /// Whether the initial watchers of a large fleet were chosen.
     has_initial_watchers: bool,
@@ -137,9 +137,9 @@
     others: Option<f64>,
 }
 
-impl Default for ListShare {
+impl Default for TargetListSync {
     fn default() -> Self {
-        ListShare {
+        TargetListSync {
             is_watching: true,
             has_initial_watchers: false,
             changed_at: StoreRevision::default(),
@@ -156,7 +156,7 @@
     }
 }
 
-impl ListShare {
+impl TargetListSync {
     /// Returns `true` while this entry watches the list.
     #[must_use]
     pub fn is_watching(&self) -> bool {
@@ -235,24 +235,30 @@
     }
 
     /// Compares an update with what is known, and adopts its revision if it is the next one.
-    pub fn apply_update(&mut self, update: &ListNews, now: Tick) -> NewsVerdict {
+    pub fn apply_update(&mut self, update: &TargetListUpdate, now: Tick) -> UpdateVerdict {
         if update.revision <= self.known_up_to {
-            return NewsVerdict::Known;
+            return UpdateVerdict::Known;
         }
         // An update that spans the restore of the store from a backup lacks the changes that were
         // lost.
-        let is_of_epoch = [update.since.epoch, update.revision.epoch] == [self.known_up_to.epoch; 2];
+        let is_of_epoch =
+            [update.since.epoch, update.revision.epoch] == [self.known_up_to.epoch; 2];
         if update.since > self.known_up_to || !is_of_epoch {
             self.record_newest(update.revision, now);
-            return NewsVerdict::Gap;
+            return UpdateVerdict::Gap;
         }
         self.advance_to(update.revision);
         self.record_announced(update.revision);
-        NewsVerdict::Next
+        UpdateVerdict::Next
     }
 
     /// Records an agent's report on the watchers that it knows.
-    pub fn record_agent_report(&mut self, watchers: u32, revision: Option<StoreRevision>, now: Tick) {
+    pub fn record_agent_report(
+        &mut self,
+        watchers: u32,
+        revision: Option<StoreRevision>,
+        now: Tick,
+    ) {
         self.agents += 1;
         self.watchers += watchers;
         if let Some(revision) = revision {
@@ -278,7 +284,13 @@
     /// Decides at intervals whether to watch. `fraction` is the fraction of the fleet that an agent
     /// sees, `entries` the number of entries, `jitter` from 0 to 1. Returns `true` if the decision
     /// changed.
-    pub fn decide_watching(&mut self, fraction: f64, entries: usize, jitter: f64, now: Tick) -> bool {
+    pub fn decide_watching(
+        &mut self,
+        fraction: f64,
+        entries: usize,
+        jitter: f64,
+        now: Tick,
+    ) -> bool {
         if now.since(self.decided_at) < DECISION_INTERVAL {
             return false;
         }
--- a/src/relay/discovery/watch_pace.rs
+++ b/src/relay/discovery/watch_timing.rs
@@ -16,7 +16,7 @@
 
 /// Delay between two answers of a frequently changing watch: each call is billed, and the last
 /// answer includes the changes before it.
-pub const NEWS_STEP: Duration = Duration::from_millis(300);
+pub const MIN_WATCH_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Fraction of the bound for leaving targets that passes between two answers of a watch of the
 /// target list: changes come in groups, and each answer is billed. The remainder of the bound is
@@ -53,14 +53,14 @@
 #[must_use]
 pub fn delay_after(end: WatchEnd, lasted: Duration) -> Duration {
     match end {
-        WatchEnd::Forgotten if lasted >= NEWS_STEP => Duration::ZERO,
-        WatchEnd::Forgotten | WatchEnd::Failed => NEWS_STEP,
+        WatchEnd::Forgotten if lasted >= MIN_WATCH_INTERVAL => Duration::ZERO,
+        WatchEnd::Forgotten | WatchEnd::Failed => MIN_WATCH_INTERVAL,
     }
 }
 
 /// Returns the delay between two answers of a watch of the list, for a process of this age.
 #[must_use]
-pub fn list_rest(age: Duration, drain_bound: Duration) -> Duration {
+pub fn list_watch_delay(age: Duration, drain_bound: Duration) -> Duration {
     let max_delay = drain_bound.mul_f64(BOUND_FRACTION);
     age.mul_f64(AGE_FRACTION).max(MIN_LIST_DELAY).min(max_delay)
 }
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -1,7 +1,7 @@
 //! The direct path from an entry to its targets, without an agent in between.
 //!
 //! On a platform whose callers, targets and store have protocols of their own, an adapter
-//! defines these ([`proxy::dialect`], [`discovery::feed`]). Everything else is decided here:
+//! defines these ([`proxy::protocol`], [`discovery::source`]). Everything else is decided here:
 //!
 //! - [`decide`]: placement and refusal of requests, and the times at which callers should come
 //!   back, without input or output,
--- a/src/relay/peers/config_copy.rs
+++ b/src/relay/peers/config_copy.rs
@@ -63,7 +63,7 @@
 }
 
 /// Answers another entry's request for a copy.
-pub(crate) fn answer_copy(shared: &RelayShared, path: &str) -> Response<Full<Bytes>> {
+pub(crate) fn serve_copy(shared: &RelayShared, path: &str) -> Response<Full<Bytes>> {
     let copy = shared.core.borrow().config_copy().filter(|_| path == COPY_PATH);
     let (status, body) = match copy.map(|copy| copy.to_bytes()) {
         Some(Ok(body)) => (StatusCode::OK, body),
--- a/src/relay/peers/adviser.rs
+++ b/src/relay/peers/coordinator.rs
@@ -10,15 +10,15 @@
 use hyper::Request;
 use tokio::net::UdpSocket;
 
-use super::engine_watch::{EnginePoll, EngineWatch, ReportEnd};
-use super::load_note::{LoadNote, MAX_NOTE};
-use super::subscriber_set::{NoteOut, SubscriberSet};
+use super::engine_health::{EngineHealth, EnginePoll, PollResult};
+use super::peer_message::{MAX_DATAGRAM_BYTES, PeerMessage};
+use super::subscriber_set::{OutboundMessage, SubscriberSet};
 use crate::Result;
 use crate::client::{CallFault, HttpClient, full};
 use crate::clock::ProcessClock;
 use crate::program::on_reload_signal;
-use crate::relay::proxy::dialect::TargetDialect;
-use crate::relay::settings::AdviserSettings;
+use crate::relay::proxy::protocol::TargetProtocol;
+use crate::relay::settings::CoordinatorSettings;
 
 /// Interval at which the agent checks for expired state, besides handling incoming messages.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(400);
@@ -31,9 +31,9 @@
 /// # Errors
 ///
 /// Its address can not be bound.
-pub async fn run_adviser(
-    settings: AdviserSettings,
-    protocol: TargetDialect,
+pub async fn run_coordinator(
+    settings: CoordinatorSettings,
+    protocol: TargetProtocol,
     logger: slog::Logger,
     stop: impl Future<Output = ()>,
 ) -> Result<()> {
@@ -42,9 +42,9 @@
     let clock = ProcessClock::new();
     let client = HttpClient::new(1);
     let mut subscribers = SubscriberSet::default();
-    let mut health = EngineWatch::default();
+    let mut health = EngineHealth::default();
     let mut polling: Fuse<LocalBoxFuture<'_, EnginePoll>> = Fuse::terminated();
-    let mut buffer = [0; MAX_NOTE];
+    let mut buffer = [0; MAX_DATAGRAM_BYTES];
     let mut ticks = tokio::time::interval(EXPIRY_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     // None of an agent's settings can change while it runs, and a reload signal must not end it.
@@ -76,8 +76,8 @@
             received = socket.recv_from(&mut buffer) => {
                 // A failed read is the ICMP error for a datagram that no process received.
                 let Ok((length, from)) = received else { continue };
-                match LoadNote::from_bytes(&buffer[..length]) {
-                    Ok(LoadNote::SuspectEngine) => {
+                match PeerMessage::from_bytes(&buffer[..length]) {
+                    Ok(PeerMessage::SuspectEngine) => {
                         if health.record_suspicion(from, clock.now()) {
                             send_all(&socket, subscribers.to_down());
                         }
@@ -101,7 +101,7 @@
     Ok(())
 }
 
-fn send_all(socket: &UdpSocket, messages: Vec<NoteOut>) {
+fn send_all(socket: &UdpSocket, messages: Vec<OutboundMessage>) {
     for out in messages {
         // A message that can not be sent now is worthless later.
         if let Ok(bytes) = out.message.to_bytes() {
@@ -113,7 +113,7 @@
 /// Polls the engine's report.
 async fn poll_report(
     client: &HttpClient,
-    protocol: &TargetDialect,
+    protocol: &TargetProtocol,
     target: SocketAddr,
     logger: &slog::Logger,
 ) -> EnginePoll {
@@ -129,25 +129,25 @@
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(CallFault::NotSent(error))) => {
             slog::debug!(logger, "could not poll the target's report"; "error" => error);
-            return EnginePoll::without_report(ReportEnd::Refused);
+            return EnginePoll::without_report(PollResult::Refused);
         }
         Ok(Err(CallFault::Unknown(error))) => {
             slog::warn!(logger, "could not poll the target's report"; "error" => error);
-            return EnginePoll::without_report(ReportEnd::Missed);
+            return EnginePoll::without_report(PollResult::Missed);
         }
         Err(elapsed) => {
             slog::warn!(logger, "could not poll the target's report"; "error" => %elapsed);
-            return EnginePoll::without_report(ReportEnd::Missed);
+            return EnginePoll::without_report(PollResult::Missed);
         }
     };
     match (protocol.parse_report)(&body) {
         Ok(report) => {
-            let result = ReportEnd::Pace((report.pace * 100.0) as u32);
+            let result = PollResult::Pace((report.pace * 100.0) as u32);
             EnginePoll { result, started_ms: report.started_ms }
         }
         Err(error) => {
             slog::warn!(logger, "could not parse the target's report"; "error" => %error);
-            EnginePoll::without_report(ReportEnd::Missed)
+            EnginePoll::without_report(PollResult::Missed)
         }
     }
 }
--- a/src/relay/peers/engine_watch.rs
+++ b/src/relay/peers/engine_health.rs
@@ -46,7 +46,7 @@
 
 /// The result of polling the engine's report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReportEnd {
+pub enum PollResult {
     /// The engine reports this pace, in hundredths.
     Pace(u32),
     /// The connection was refused.
@@ -59,7 +59,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EnginePoll {
     /// Its result.
-    pub result: ReportEnd,
+    pub result: PollResult,
     /// Start time of the engine's instance in Unix milliseconds, if reported.
     pub started_ms: Option<u64>,
 }
@@ -67,7 +67,7 @@
 impl EnginePoll {
     /// Creates a poll that brought no report.
     #[must_use]
-    pub fn without_report(result: ReportEnd) -> Self {
+    pub fn without_report(result: PollResult) -> Self {
         EnginePoll { result, started_ms: None }
     }
 }
@@ -81,7 +81,7 @@
 
 /// Health of an engine, as its agent knows it.
 #[derive(Debug)]
-pub struct EngineWatch {
+pub struct EngineHealth {
     pace_percent: u32,
     missed: u32,
     refused: u32,
@@ -99,9 +99,9 @@
     informed_at: Option<Tick>,
 }
 
-impl Default for EngineWatch {
+impl Default for EngineHealth {
     fn default() -> Self {
-        EngineWatch {
+        EngineHealth {
             pace_percent: DECLARED_PACE,
             missed: 0,
             refused: 0,
@@ -117,7 +117,7 @@
     }
 }
 
-impl EngineWatch {
+impl EngineHealth {
     /// Returns how much slower than declared the engine works, in hundredths.
     #[must_use]
     pub fn pace_percent(&self) -> u32 {
@@ -188,19 +188,19 @@
 
     /// Records the result of a poll. Returns `true` if entries are to be informed that the engine
     /// is down.
-    pub fn record_report(&mut self, result: ReportEnd) -> bool {
+    pub fn record_report(&mut self, result: PollResult) -> bool {
         match result {
-            ReportEnd::Pace(pace) => {
+            PollResult::Pace(pace) => {
                 self.pace_percent = pace;
                 self.missed = 0;
                 self.refused = 0;
                 self.is_down = false;
             }
-            ReportEnd::Refused => {
+            PollResult::Refused => {
                 self.refused += 1;
                 self.is_down = true;
             }
-            ReportEnd::Missed => {
+            PollResult::Missed => {
                 self.missed += 1;
                 self.is_down |= self.missed >= MIN_MISSED_REPORTS;
             }
--- a/src/relay/peers/note_parts.rs
+++ b/src/relay/peers/message_fragments.rs
@@ -11,11 +11,11 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-use super::load_note::MAX_NOTE;
+use super::peer_message::MAX_DATAGRAM_BYTES;
 use crate::time::Tick;
 
 /// Payload bytes of a fragment: the rest of the datagram holds its header.
-const FRAGMENT_BYTES: usize = MAX_NOTE - 64;
+const FRAGMENT_BYTES: usize = MAX_DATAGRAM_BYTES - 64;
 
 /// Maximum number of fragments of a message. A longer message is not sent: entries that need it
 /// read the store.
--- a/src/relay/peers/load_link.rs
+++ b/src/relay/peers/peer_link.rs
@@ -7,12 +7,12 @@
 use rand::seq::IteratorRandom;
 use tokio::net::UdpSocket;
 
-use super::load_note::{LoadNote, MAX_NOTE};
-use super::note_parts::MessageFragment;
+use super::message_fragments::MessageFragment;
+use super::peer_message::{MAX_DATAGRAM_BYTES, PeerMessage};
 use crate::Result;
 use crate::relay::core::RelayCore;
 use crate::relay::decide::request_digest::RequestDigest;
-use crate::relay::discovery::list_share::NewsTeller;
+use crate::relay::discovery::target_list_sync::UpdateAnnouncer;
 use crate::time::Tick;
 
 /// Interval of subscriptions; an agent drops an entry after a few missed ones.
@@ -27,18 +27,18 @@
 
 /// The entry's socket for peer messages.
 #[derive(Debug)]
-pub(crate) struct LoadLink {
+pub(crate) struct PeerLink {
     pub(crate) socket: UdpSocket,
     address: SocketAddr,
     subscribed_at: Cell<Option<Tick>>,
 }
 
-impl LoadLink {
+impl PeerLink {
     /// Binds the socket; agents listen on the same port of their hosts.
     pub(crate) async fn bind(address: SocketAddr) -> Result<Self> {
         let socket = UdpSocket::bind(address).await?;
         let address = socket.local_addr()?;
-        Ok(LoadLink { socket, address, subscribed_at: Cell::new(None) })
+        Ok(PeerLink { socket, address, subscribed_at: Cell::new(None) })
     }
 
     /// Returns the address that it is bound to.
@@ -48,27 +48,27 @@
 
     /// Sends a message to the agent beside its engine, or to the agents that store the reports
     /// about its request.
-    pub(crate) fn send(&self, core: &RelayCore, message: &LoadNote) {
+    pub(crate) fn send(&self, core: &RelayCore, message: &PeerMessage) {
         match message {
-            LoadNote::StreamPlaced { target, .. } | LoadNote::StreamEnded { target, .. } => {
+            PeerMessage::StreamPlaced { target, .. } | PeerMessage::StreamEnded { target, .. } => {
                 if let Some(target) = core.targets.get(target) {
                     self.send_beside(target.record.address, message);
                 }
             }
-            LoadNote::RequestSuspected(report) => self.send_report(core, report.digest, message),
-            LoadNote::RequestCleared(digest) => self.send_report(core, *digest, message),
+            PeerMessage::RequestSuspected(report) => self.send_report(core, report.digest, message),
+            PeerMessage::RequestCleared(digest) => self.send_report(core, *digest, message),
             _ => {}
         }
     }
 
-    fn send_report(&self, core: &RelayCore, digest: RequestDigest, message: &LoadNote) {
+    fn send_report(&self, core: &RelayCore, digest: RequestDigest, message: &PeerMessage) {
         for holder in suspect_holders(core, digest) {
             self.send_beside(holder, message);
         }
     }
 
     /// Sends a message to the agent beside a target.
-    pub(crate) fn send_beside(&self, target: SocketAddr, message: &LoadNote) {
+    pub(crate) fn send_beside(&self, target: SocketAddr, message: &PeerMessage) {
         self.send_to(SocketAddr::new(target.ip(), self.address.port()), message);
     }
 
@@ -77,8 +77,8 @@
     pub(crate) fn broadcast(
         &self,
         core: &RelayCore,
-        message: &LoadNote,
-        announcer: NewsTeller,
+        message: &PeerMessage,
+        announcer: UpdateAnnouncer,
     ) -> bool {
         let Ok(bytes) = message.to_bytes() else { return false };
         let engines = || core.targets.iter().filter(|target| target.model.is_some());
@@ -86,7 +86,7 @@
         // Any agent relays messages, also one whose engine this entry does not use.
         let addresses = engines().map(|target| target.record.address);
         let agents = addresses.choose_multiple(&mut rand::rng(), count);
-        if bytes.len() <= MAX_NOTE {
+        if bytes.len() <= MAX_DATAGRAM_BYTES {
             for address in agents {
                 self.send_beside(address, message);
             }
@@ -95,7 +95,7 @@
         let Some(fragments) = MessageFragment::split(&bytes.into(), rand::random()) else {
             return false;
         };
-        for fragment in fragments.into_iter().map(LoadNote::Fragment) {
+        for fragment in fragments.into_iter().map(PeerMessage::Fragment) {
             for address in &agents {
                 self.send_beside(*address, &fragment);
             }
@@ -105,15 +105,15 @@
 
     /// Asks the agent beside a target to check whether it is down.
     pub(crate) fn report_suspicion(&self, target: SocketAddr) {
-        self.send_beside(target, &LoadNote::SuspectEngine);
+        self.send_beside(target, &PeerMessage::SuspectEngine);
     }
 
     /// Sends a message to another process.
-    pub(crate) fn send_to(&self, address: SocketAddr, message: &LoadNote) {
+    pub(crate) fn send_to(&self, address: SocketAddr, message: &PeerMessage) {
         // A message that can not be sent now is worthless later, and one that is too long would not
         // be read: entries that need it read the store.
         if let Ok(bytes) = message.to_bytes()
-            && bytes.len() <= MAX_NOTE
+            && bytes.len() <= MAX_DATAGRAM_BYTES
         {
             drop(self.socket.try_send_to(&bytes, address));
         }
@@ -131,13 +131,13 @@
     /// Sends the known rates to the agents, if there are any.
     fn send_rates(&self, core: &mut RelayCore, now: Tick) {
         for (beside, update) in core.to_issuer_rates(now) {
-            self.send_beside(beside, &LoadNote::Rates(vec![update]));
+            self.send_beside(beside, &PeerMessage::Rates(vec![update]));
         }
         let rates = core.to_rate_updates(now);
         if rates.is_empty() {
             return;
         }
-        let message = LoadNote::Rates(rates);
+        let message = PeerMessage::Rates(rates);
         for address in used_engines(core) {
             self.send_beside(address, &message);
         }
@@ -162,16 +162,21 @@
     }
 }
 
-fn to_subscription(core: &RelayCore, now: Tick) -> LoadNote {
+fn to_subscription(core: &RelayCore, now: Tick) -> PeerMessage {
     // An unconfirmed configuration proves nothing to others.
     let age = core.lease().age(now).filter(|_| core.is_config_confirmed());
     let proof_age_ms = age.and_then(|age| u32::try_from(age.as_millis()).ok());
     let revision = core.config_revision();
     let is_announced = core.is_config_confirmed() && !revision.is_unknown();
-    let config_mark = is_announced.then_some(revision);
-    let share = core.list_share();
-    let list_mark = share.is_watching().then_some(share.announced());
-    LoadNote::Subscribe { entry: core.entry(), proof_age_ms, list_mark, config_mark }
+    let confirmed_revision = is_announced.then_some(revision);
+    let share = core.target_list_sync();
+    let watched_revision = share.is_watching().then_some(share.announced());
+    PeerMessage::Subscribe {
+        entry: core.entry(),
+        proof_age_ms,
+        watched_revision,
+        confirmed_revision,
+    }
 }
 
 /// Returns the addresses of the engines that this entry uses.
--- a/src/relay/peers/load_note.rs
+++ b/src/relay/peers/peer_message.rs
@@ -8,24 +8,24 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::note_parts::MessageFragment;
-use crate::relay::decide::permit_desk::{PermitAsk, PermitReply};
-use crate::relay::decide::quarantine::SuspectNews;
-use crate::relay::decide::rate_book::RateNews;
+use super::message_fragments::MessageFragment;
+use crate::relay::decide::permit_issuer::{PermitReply, PermitRequest};
+use crate::relay::decide::quarantine::SuspectReport;
+use crate::relay::decide::rate_table::RateUpdate;
 use crate::relay::decide::request_digest::RequestDigest;
-use crate::relay::decide::slack_gate::SlackAsk;
+use crate::relay::decide::shared_retry_budget::RetryGrantRequest;
 use crate::relay::decide::stream_load::{StreamKey, StreamLoad};
-use crate::relay::decide::target_state::TargetLife;
+use crate::relay::decide::target_state::TargetInstance;
 use crate::relay::discovery::config_delta::ConfigDelta;
-use crate::relay::discovery::list_share::ListNews;
 use crate::relay::discovery::store_revision::StoreRevision;
+use crate::relay::discovery::target_list_sync::TargetListUpdate;
 
 /// Maximum size of a datagram that is read, in bytes.
-pub const MAX_NOTE: usize = 1_200;
+pub const MAX_DATAGRAM_BYTES: usize = 1_200;
 
 /// A message between an entry and an agent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum LoadNote {
+pub enum PeerMessage {
     /// An entry uses the engine and subscribes to its messages. Sent periodically.
     #[serde(rename = "h")]
     Subscribe {
@@ -35,10 +35,10 @@
         proof_age_ms: Option<u32>,
         /// Revision up to which it announced changes of the target list, if it watches the list.
         #[serde(rename = "list_mark")]
-        list_mark: Option<StoreRevision>,
+        watched_revision: Option<StoreRevision>,
         /// Revision of its configuration, if that is confirmed.
         #[serde(rename = "config_mark")]
-        config_mark: Option<StoreRevision>,
+        confirmed_revision: Option<StoreRevision>,
     },
     /// The agent's acknowledgement of a subscription.
     #[serde(rename = "w")]
@@ -57,14 +57,14 @@
         watchers: u32,
         /// Newest revision of the target list that one of these announced.
         #[serde(rename = "list_mark")]
-        list_mark: Option<StoreRevision>,
+        watched_revision: Option<StoreRevision>,
         /// Newest revision of the configuration at another entry.
         #[serde(rename = "config_mark")]
-        config_mark: Option<StoreRevision>,
+        confirmed_revision: Option<StoreRevision>,
     },
     /// The target list changed. Relayed by the agent to the other entries.
     #[serde(rename = "c")]
-    TargetListChanged(ListNews),
+    TargetListChanged(TargetListUpdate),
     /// The configuration changed. Relayed by the agent to the other entries.
     #[serde(rename = "v")]
     ConfigChanged(Box<ConfigDelta>),
@@ -87,7 +87,7 @@
     },
     /// Targets crashed while they ran a request. Agents merge these reports and relay them.
     #[serde(rename = "u")]
-    RequestSuspected(SuspectNews),
+    RequestSuspected(SuspectReport),
     /// A target answered a request that was suspected.
     #[serde(rename = "k")]
     RequestCleared(RequestDigest),
@@ -115,14 +115,14 @@
     /// Accepted request rates of targets, as far as the sender knows them. Entries and agents
     /// exchange them together with subscriptions and acknowledgements.
     #[serde(rename = "r")]
-    Rates(Vec<RateNews>),
+    Rates(Vec<RateUpdate>),
     /// An entry asks for a permit to send to a rate-limited target.
     #[serde(rename = "m")]
     RequestPermit {
         /// Identifies the request.
         nonce: u64,
         /// The requested permit.
-        ask: PermitAsk,
+        ask: PermitRequest,
     },
     /// An entry asks for a second attempt beyond its share of the retry budget.
     #[serde(rename = "b")]
@@ -130,7 +130,7 @@
         /// Identifies the request.
         nonce: u64,
         /// The requested attempt.
-        ask: SlackAsk,
+        ask: RetryGrantRequest,
     },
     /// The answer to either request.
     #[serde(rename = "n")]
@@ -142,7 +142,7 @@
     },
     /// An entry had to send to a rate-limited target without a permit.
     #[serde(rename = "o")]
-    SentWithoutPermit(TargetLife),
+    SentWithoutPermit(TargetInstance),
     /// A stream was placed on the engine.
     #[serde(rename = "p")]
     StreamPlaced {
@@ -177,7 +177,7 @@
     },
 }
 
-impl LoadNote {
+impl PeerMessage {
     /// Encodes the datagram of this message.
     ///
     /// # Errors
--- a/src/relay/peers/receive.rs
+++ b/src/relay/peers/receive.rs
@@ -4,16 +4,16 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use super::load_note::{LoadNote, MAX_NOTE};
-use super::note_parts::FragmentBuffer;
+use super::message_fragments::FragmentBuffer;
+use super::peer_message::{MAX_DATAGRAM_BYTES, PeerMessage};
 use crate::relay::core::RelayCore;
-use crate::relay::discovery::proof_share::PeerProof;
+use crate::relay::discovery::proof_sync::PeerProof;
 use crate::relay::shared::RelayShared;
 use crate::time::Tick;
 
 /// Handles the messages of agents for as long as the process runs.
 pub(crate) async fn receive(shared: Rc<RelayShared>) {
-    let mut buffer = [0; MAX_NOTE];
+    let mut buffer = [0; MAX_DATAGRAM_BYTES];
     let mut fragments = FragmentBuffer::default();
     loop {
         // A failed read is the ICMP error for a datagram that no process received.
@@ -21,14 +21,14 @@
             tokio::task::yield_now().await;
             continue;
         };
-        let Ok(message) = LoadNote::from_bytes(&buffer[..length]) else {
+        let Ok(message) = PeerMessage::from_bytes(&buffer[..length]) else {
             continue;
         };
         let now = shared.now();
         match message {
-            LoadNote::Fragment(fragment) => {
+            PeerMessage::Fragment(fragment) => {
                 let complete = fragments.insert(fragment, now);
-                match complete.map(|bytes| LoadNote::from_bytes(&bytes)) {
+                match complete.map(|bytes| PeerMessage::from_bytes(&bytes)) {
                     Some(Ok(message)) => apply_update(&shared, message, now),
                     Some(Err(error)) => {
                         slog::debug!(shared.log.logger(), "invalid peer message ignored";
@@ -37,27 +37,33 @@
                     None => {}
                 }
             }
-            LoadNote::QueryProof { nonce } => {
+            PeerMessage::QueryProof { nonce } => {
                 if let Some(answer) = shared.core.borrow().answer_proof_request(nonce, now) {
                     shared.link.send_to(from, &answer);
                 }
             }
-            message @ (LoadNote::TargetListChanged(_) | LoadNote::ConfigChanged(_)) => {
+            message @ (PeerMessage::TargetListChanged(_) | PeerMessage::ConfigChanged(_)) => {
                 apply_update(&shared, message, now);
             }
-            LoadNote::EngineDown => shared.core.borrow_mut().record_down(from.ip(), now),
-            LoadNote::EngineExited { next_ms } => {
+            PeerMessage::EngineDown => shared.core.borrow_mut().record_down(from.ip(), now),
+            PeerMessage::EngineExited { next_ms } => {
                 shared.core.borrow_mut().record_exit(from.ip(), next_ms, now);
                 shared.report_suspects();
             }
-            LoadNote::RequestSuspected(report) => {
+            PeerMessage::RequestSuspected(report) => {
                 shared.core.borrow_mut().apply_suspect_report(&report, now);
                 shared.report_suspects();
             }
-            LoadNote::RequestCleared(digest) => shared.core.borrow_mut().apply_cleared(&digest),
-            LoadNote::Rates(updates) => shared.core.borrow_mut().apply_rates(&updates, now),
-            LoadNote::AnswerPermit { nonce, reply } => shared.deliver_permit_reply(nonce, reply),
-            LoadNote::AnswerProof { nonce, revision, config_digest, proof_age_ms, evacuated } => {
+            PeerMessage::RequestCleared(digest) => shared.core.borrow_mut().apply_cleared(&digest),
+            PeerMessage::Rates(updates) => shared.core.borrow_mut().apply_rates(&updates, now),
+            PeerMessage::AnswerPermit { nonce, reply } => shared.deliver_permit_reply(nonce, reply),
+            PeerMessage::AnswerProof {
+                nonce,
+                revision,
+                config_digest,
+                proof_age_ms,
+                evacuated,
+            } => {
                 let age = Duration::from_millis(proof_age_ms.into());
                 let proof = PeerProof { nonce, revision, config_digest, age, evacuated };
                 shared.apply_proof(&proof);
@@ -72,14 +78,14 @@
 }
 
 /// Applies an update that another entry sends to all entries.
-fn apply_update(shared: &RelayShared, message: LoadNote, now: Tick) {
+fn apply_update(shared: &RelayShared, message: PeerMessage, now: Tick) {
     match message {
-        LoadNote::TargetListChanged(update) => {
+        PeerMessage::TargetListChanged(update) => {
             let is_after_outage = shared.was_store_unreachable(now);
             let change = shared.core.borrow_mut().apply_list_update(&update, is_after_outage, now);
             shared.log.targets_changed(&change);
         }
-        LoadNote::ConfigChanged(delta) => {
+        PeerMessage::ConfigChanged(delta) => {
             let mut core = shared.core.borrow_mut();
             if core.apply_delta(&delta, now) {
                 shared.log.config_changed(core.rules().version());
@@ -93,8 +99,8 @@
 
 /// An agent that has not learned the name of its target yet leaves it empty: then it is the target
 /// on the agent's host.
-fn fill_target_name(core: &RelayCore, mut message: LoadNote, from: SocketAddr) -> LoadNote {
-    let LoadNote::SubscriptionAck { target, .. } = &mut message else { return message };
+fn fill_target_name(core: &RelayCore, mut message: PeerMessage, from: SocketAddr) -> PeerMessage {
+    let PeerMessage::SubscriptionAck { target, .. } = &mut message else { return message };
     if target.is_empty()
         && let Some(beside) =
             core.targets.iter().find(|target| target.record.address.ip() == from.ip())
--- a/src/relay/peers/subscriber_set.rs
+++ b/src/relay/peers/subscriber_set.rs
@@ -6,11 +6,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::load_note::LoadNote;
-use crate::relay::decide::permit_desk::PermitDesk;
-use crate::relay::decide::quarantine::{QuarantineLedger, SuspectNews};
-use crate::relay::decide::rate_book::RateTold;
-use crate::relay::decide::slack_gate::SlackGate;
+use super::peer_message::PeerMessage;
+use crate::relay::decide::permit_issuer::PermitIssuer;
+use crate::relay::decide::quarantine::{QuarantineLedger, SuspectReport};
+use crate::relay::decide::rate_table::AnnouncedRates;
+use crate::relay::decide::shared_retry_budget::SharedRetryBudget;
 use crate::relay::decide::stream_load::StreamKey;
 use crate::relay::discovery::store_revision::StoreRevision;
 use crate::time::Tick;
@@ -27,17 +27,17 @@
 #[derive(Debug, Default)]
 pub struct SubscriberSet {
     subscribers: HashMap<SocketAddr, Subscriber>,
-    streams: HashMap<StreamKey, LoadNote>,
+    streams: HashMap<StreamKey, PeerMessage>,
     /// What entries reported about requests that crash targets.
     suspects: QuarantineLedger,
     /// Accepted rates of targets, and permits to send to them.
-    permits: PermitDesk,
+    permits: PermitIssuer,
     /// Second attempts that it grants.
-    slack: SlackGate,
+    slack: SharedRetryBudget,
     /// Name of the engine beside this agent, as entries call it.
     beside: Option<Arc<str>>,
     /// Rates that were sent to each subscriber.
-    sent_rates: HashMap<SocketAddr, RateTold>,
+    sent_rates: HashMap<SocketAddr, AnnouncedRates>,
 }
 
 #[derive(Debug)]
@@ -47,81 +47,98 @@
     /// When it proved its configuration current.
     proven_at: Option<Tick>,
     /// Revision up to which it announced changes of the target list, if it watches the list.
-    list_mark: Option<StoreRevision>,
+    watched_revision: Option<StoreRevision>,
     /// Revision of its configuration.
-    config_mark: Option<StoreRevision>,
+    confirmed_revision: Option<StoreRevision>,
 }
 
 /// A datagram to be sent.
 #[derive(Debug, PartialEq)]
-pub struct NoteOut {
+pub struct OutboundMessage {
     /// Its destination.
     pub to: SocketAddr,
     /// Its content.
-    pub message: LoadNote,
+    pub message: PeerMessage,
 }
 
 impl SubscriberSet {
     /// Handles a message of an entry and returns the messages to be sent.
     pub fn on_message(
         &mut self,
-        message: &LoadNote,
+        message: &PeerMessage,
         from: SocketAddr,
         pace_percent: u32,
         now: Tick,
-    ) -> Vec<NoteOut> {
+    ) -> Vec<OutboundMessage> {
         match message {
-            LoadNote::Subscribe { entry, proof_age_ms, list_mark, config_mark } => {
+            PeerMessage::Subscribe {
+                entry,
+                proof_age_ms,
+                watched_revision,
+                confirmed_revision,
+            } => {
                 let proof_age = proof_age_ms.map(|age| Duration::from_millis(age.into()));
                 let proven_at = proof_age.map(|age| now - age);
-                let (entry, list_mark, config_mark) = (*entry, *list_mark, *config_mark);
+                let (entry, watched_revision, confirmed_revision) =
+                    (*entry, *watched_revision, *confirmed_revision);
                 let received_at = now;
-                let subscriber =
-                    Subscriber { entry, received_at, proven_at, list_mark, config_mark };
+                let subscriber = Subscriber {
+                    entry,
+                    received_at,
+                    proven_at,
+                    watched_revision,
+                    confirmed_revision,
+                };
                 self.handle_subscription(subscriber, from, pace_percent)
             }
-            LoadNote::StreamPlaced { key, target, .. } => {
+            PeerMessage::StreamPlaced { key, target, .. } => {
                 self.beside = Some(target.clone());
                 self.streams.insert(*key, message.clone());
                 self.to_others(from, message)
             }
-            LoadNote::StreamEnded { key, .. } => {
+            PeerMessage::StreamEnded { key, .. } => {
                 self.streams.remove(key);
                 self.to_others(from, message)
             }
-            LoadNote::TargetListChanged(_) | LoadNote::ConfigChanged(_) | LoadNote::Fragment(_) => {
-                self.to_others(from, message)
-            }
-            LoadNote::RequestSuspected(report) => self.merge_suspect(report, now),
-            LoadNote::RequestCleared(digest) => {
+            PeerMessage::TargetListChanged(_)
+            | PeerMessage::ConfigChanged(_)
+            | PeerMessage::Fragment(_) => self.to_others(from, message),
+            PeerMessage::RequestSuspected(report) => self.merge_suspect(report, now),
+            PeerMessage::RequestCleared(digest) => {
                 let was_reported = self.suspects.shareable_report(*digest).is_some();
                 self.suspects.record_served(digest);
                 if was_reported { self.to_others(from, message) } else { Vec::new() }
             }
-            LoadNote::Rates(updates) => {
+            PeerMessage::Rates(updates) => {
                 self.permits.apply_updates(updates, now);
                 Vec::new()
             }
-            LoadNote::RequestPermit { nonce, ask } => {
+            PeerMessage::RequestPermit { nonce, ask } => {
                 let reply = self.permits.on_request(ask, now);
-                vec![NoteOut { to: from, message: LoadNote::AnswerPermit { nonce: *nonce, reply } }]
+                vec![OutboundMessage {
+                    to: from,
+                    message: PeerMessage::AnswerPermit { nonce: *nonce, reply },
+                }]
             }
-            LoadNote::RequestRetryGrant { nonce, ask } => {
+            PeerMessage::RequestRetryGrant { nonce, ask } => {
                 let reply = self.slack.on_request(ask, now);
-                vec![NoteOut { to: from, message: LoadNote::AnswerPermit { nonce: *nonce, reply } }]
+                vec![OutboundMessage {
+                    to: from,
+                    message: PeerMessage::AnswerPermit { nonce: *nonce, reply },
+                }]
             }
-            LoadNote::SentWithoutPermit(life) => {
+            PeerMessage::SentWithoutPermit(life) => {
                 self.permits.record_unpermitted(life, now);
                 Vec::new()
             }
-            LoadNote::AnswerPermit { .. }
-            | LoadNote::EngineExited { .. }
-            | LoadNote::SuspectEngine
-            | LoadNote::EngineDown
-            | LoadNote::SubscriptionAck { .. }
-            | LoadNote::EntryGone { .. }
-            | LoadNote::QueryProof { .. }
-            | LoadNote::AnswerProof { .. } => Vec::new(),
+            PeerMessage::AnswerPermit { .. }
+            | PeerMessage::EngineExited { .. }
+            | PeerMessage::SuspectEngine
+            | PeerMessage::EngineDown
+            | PeerMessage::SubscriptionAck { .. }
+            | PeerMessage::EntryGone { .. }
+            | PeerMessage::QueryProof { .. }
+            | PeerMessage::AnswerProof { .. } => Vec::new(),
         }
     }
 
@@ -130,7 +147,7 @@
         subscriber: Subscriber,
         from: SocketAddr,
         pace_percent: u32,
-    ) -> Vec<NoteOut> {
+    ) -> Vec<OutboundMessage> {
         let Subscriber { entry, received_at: now, .. } = subscriber;
         let known = self.subscribers.insert(from, subscriber);
         let newest = self.newest_proof(from);
@@ -139,19 +156,19 @@
         let proof_from = newest.map(|(address, _)| address);
         let entries = self.subscribers.len() as u32;
         let others = self.subscribers.iter().filter(|(other, _)| **other != from);
-        let config_mark = others.filter_map(|(_, other)| other.config_mark).max();
+        let confirmed_revision = others.filter_map(|(_, other)| other.confirmed_revision).max();
         let revisions: Vec<StoreRevision> = self.watcher_revisions(from, now).collect();
-        let acknowledgement = LoadNote::SubscriptionAck {
+        let acknowledgement = PeerMessage::SubscriptionAck {
             target: "".into(),
             entries,
             pace_percent,
             proof_age_ms,
             proof_from,
             watchers: revisions.len() as u32,
-            list_mark: revisions.iter().max().copied(),
-            config_mark,
+            watched_revision: revisions.iter().max().copied(),
+            confirmed_revision,
         };
-        let mut out = vec![NoteOut { to: from, message: acknowledgement }];
+        let mut out = vec![OutboundMessage { to: from, message: acknowledgement }];
         let is_new = known.as_ref().is_none_or(|known| known.entry != entry);
         if is_new {
             self.sent_rates.remove(&from);
@@ -162,14 +179,17 @@
         let sent = self.sent_rates.entry(from).or_default();
         let rates = self.permits.to_updates(sent, now);
         if !rates.is_empty() {
-            out.push(NoteOut { to: from, message: LoadNote::Rates(rates) });
+            out.push(OutboundMessage { to: from, message: PeerMessage::Rates(rates) });
         }
         if is_new {
             out.extend(
-                self.streams.values().map(|message| NoteOut { to: from, message: message.clone() }),
+                self.streams
+                    .values()
+                    .map(|message| OutboundMessage { to: from, message: message.clone() }),
             );
-            let suspects = self.suspects.to_reports().into_iter().map(LoadNote::RequestSuspected);
-            out.extend(suspects.map(|report| NoteOut { to: from, message: report }));
+            let suspects =
+                self.suspects.to_reports().into_iter().map(PeerMessage::RequestSuspected);
+            out.extend(suspects.map(|report| OutboundMessage { to: from, message: report }));
         }
         out
     }
@@ -186,16 +206,16 @@
     fn watcher_revisions(&self, to: SocketAddr, now: Tick) -> impl Iterator<Item = StoreRevision> {
         let others = self.subscribers.iter().filter(move |(from, _)| **from != to);
         let recent = others.filter(move |(_, other)| now.since(other.received_at) <= WATCHER_TTL);
-        recent.filter_map(|(_, other)| other.list_mark)
+        recent.filter_map(|(_, other)| other.watched_revision)
     }
 
-    fn to_others(&self, from: SocketAddr, message: &LoadNote) -> Vec<NoteOut> {
+    fn to_others(&self, from: SocketAddr, message: &PeerMessage) -> Vec<OutboundMessage> {
         let others = self.subscribers.keys().filter(|to| **to != from);
-        others.map(|to| NoteOut { to: *to, message: message.clone() }).collect()
+        others.map(|to| OutboundMessage { to: *to, message: message.clone() }).collect()
     }
 
     /// Drops entries whose subscription has expired, and returns the messages to be sent.
-    pub fn expire(&mut self, now: Tick) -> Vec<NoteOut> {
+    pub fn expire(&mut self, now: Tick) -> Vec<OutboundMessage> {
         self.permits.expire(now);
         let gone: Vec<u64> = self
             .subscribers
@@ -209,42 +229,42 @@
     }
 
     /// Drops the streams of an entry: they ended with their connections.
-    fn drop_entry(&mut self, entry: u64) -> Vec<NoteOut> {
+    fn drop_entry(&mut self, entry: u64) -> Vec<OutboundMessage> {
         let target = self.streams.iter().find(|(key, _)| key.entry == entry);
         let target = target.and_then(|(_, message)| match message {
-            LoadNote::StreamPlaced { target, .. } => Some(target.clone()),
+            PeerMessage::StreamPlaced { target, .. } => Some(target.clone()),
             _ => None,
         });
         self.streams.retain(|key, _| key.entry != entry);
         let Some(target) = target else { return Vec::new() };
-        self.to_all(&LoadNote::EntryGone { target, entry })
+        self.to_all(&PeerMessage::EntryGone { target, entry })
     }
 
     /// Merges an entry's report about a request with the reports of others. All entries are
     /// informed of a request that was present at several crashes: of 16 requests on an engine that
     /// crashes, one is the cause.
-    fn merge_suspect(&mut self, report: &SuspectNews, now: Tick) -> Vec<NoteOut> {
+    fn merge_suspect(&mut self, report: &SuspectReport, now: Tick) -> Vec<OutboundMessage> {
         self.suspects.apply_report(report, now);
         let merged = self.suspects.shareable_report(report.digest);
-        merged.map_or_else(Vec::new, |merged| self.to_all(&LoadNote::RequestSuspected(merged)))
+        merged.map_or_else(Vec::new, |merged| self.to_all(&PeerMessage::RequestSuspected(merged)))
     }
 
     /// Returns the messages to be sent after the engine has exited.
     #[must_use]
-    pub fn to_exited(&self, next_ms: Option<u64>) -> Vec<NoteOut> {
-        self.to_all(&LoadNote::EngineExited { next_ms })
+    pub fn to_exited(&self, next_ms: Option<u64>) -> Vec<OutboundMessage> {
+        self.to_all(&PeerMessage::EngineExited { next_ms })
     }
 
-    fn to_all(&self, message: &LoadNote) -> Vec<NoteOut> {
+    fn to_all(&self, message: &PeerMessage) -> Vec<OutboundMessage> {
         let all = self.subscribers.keys();
-        all.map(|to| NoteOut { to: *to, message: message.clone() }).collect()
+        all.map(|to| OutboundMessage { to: *to, message: message.clone() }).collect()
     }
 
     /// Returns the messages to be sent while the engine is down. They inform every entry that uses
     /// it, so that not each of them has to find out by a failed request.
     #[must_use]
-    pub fn to_down(&self) -> Vec<NoteOut> {
-        self.to_all(&LoadNote::EngineDown)
+    pub fn to_down(&self) -> Vec<OutboundMessage> {
+        self.to_all(&PeerMessage::EngineDown)
     }
 
     /// Returns `true` if the engine beside this agent is rate-limited.
--- a/src/relay/proxy/answer.rs
+++ b/src/relay/proxy/answer.rs
@@ -12,7 +12,7 @@
 use serde::Serialize;
 use tokio::sync::mpsc;
 
-use super::dialect::CallerDialect;
+use super::protocol::CallerProtocol;
 use crate::verdict::Verdict;
 use crate::web::set_verdict;
 
@@ -116,7 +116,7 @@
         RelayFault { status, code, message: message.into(), verdict, retry_after: None }
     }
 
-    pub(crate) fn into_answer(self, dialect: &CallerDialect, id: &str) -> RelayAnswer {
+    pub(crate) fn into_answer(self, protocol: &CallerProtocol, id: &str) -> RelayAnswer {
         #[derive(Serialize)]
         struct FaultBody<'a> {
             code: &'a str,
@@ -129,7 +129,7 @@
         *response.status_mut() = self.status;
         set_verdict(response.headers_mut(), self.verdict, id);
         if let Some(delay) = self.retry_after {
-            (dialect.set_retry_after)(response.headers_mut(), delay);
+            (protocol.set_retry_after)(response.headers_mut(), delay);
         }
         response
     }
--- a/src/relay/proxy/call.rs
+++ b/src/relay/proxy/call.rs
@@ -14,7 +14,7 @@
 use super::series::AttemptSeries;
 use crate::relay::decide::placement::Placement;
 use crate::relay::decide::targets::TargetFault;
-use crate::relay::record::SeriesEnd;
+use crate::relay::record::RetryStop;
 use crate::relay::shared::RelayShared;
 use crate::verdict::Verdict;
 use crate::web::{BodyFault, read_body};
@@ -31,11 +31,11 @@
     let mut series = AttemptSeries::new();
     loop {
         if let Some(fault) = series.check_quarantine(shared, job) {
-            ledger.series_end = Some(SeriesEnd::Quarantined);
+            ledger.series_end = Some(RetryStop::Quarantined);
             return Err(fault);
         }
         let Some(mut placement) = series.place(shared, job) else {
-            ledger.series_end = Some(SeriesEnd::NoTarget);
+            ledger.series_end = Some(RetryStop::NoTarget);
             return Err(series.final_fault(shared, job, false));
         };
         if !acquire_permit(shared, job, &series, &mut placement).await {
--- a/src/relay/proxy/crash_check.rs
+++ b/src/relay/proxy/crash_check.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use super::connections::connect;
-use crate::relay::decide::targets::TargetLife;
+use crate::relay::decide::targets::TargetInstance;
 use crate::relay::shared::RelayShared;
 
 /// Delay before each probe: a target counts as crashed only after its port has refused connections
@@ -20,7 +20,7 @@
 const MAX_PROBES: u32 = 2;
 
 /// Probes the address of a plain target unless a probe of that instance is already running.
-pub(crate) fn check_crash(shared: &Rc<RelayShared>, instance: &TargetLife) {
+pub(crate) fn check_crash(shared: &Rc<RelayShared>, instance: &TargetInstance) {
     let Some(address) = plain_address(shared, instance) else { return };
     if !shared.crash_checks.borrow_mut().insert(instance.clone()) {
         return;
@@ -34,17 +34,18 @@
 }
 
 /// Returns the address of a plain target; `None` for an engine or a target that is not listed.
-fn plain_address(shared: &RelayShared, instance: &TargetLife) -> Option<SocketAddr> {
+fn plain_address(shared: &RelayShared, instance: &TargetInstance) -> Option<SocketAddr> {
     let core = shared.core.borrow();
     let target = core.targets.get(&instance.incarnation)?;
     target.model.is_none().then_some(target.record.address)
 }
 
-async fn probe_address(shared: &RelayShared, instance: &TargetLife, address: SocketAddr) {
+async fn probe_address(shared: &RelayShared, instance: &TargetInstance, address: SocketAddr) {
     for _ in 0..MAX_PROBES {
         tokio::time::sleep(PROBE_DELAY).await;
         let Err(fault) = connect(address).await else { return };
-        if !fault.is_refused() || shared.core.borrow_mut().record_unreachable(instance, shared.now())
+        if !fault.is_refused()
+            || shared.core.borrow_mut().record_unreachable(instance, shared.now())
         {
             return;
         }
--- a/src/relay/proxy/exchange.rs
+++ b/src/relay/proxy/exchange.rs
@@ -11,9 +11,9 @@
 
 use super::answer::{RelayAnswer, RelayFault};
 use super::call::serve_call;
-use super::dialect::CallerHead;
 use super::forward::RelayJob;
 use super::ledger::RequestLedger;
+use super::protocol::CallerHead;
 use super::series::{NO_ROOM_RETRY_DELAY, quarantine_fault};
 use super::stream::serve_stream;
 use crate::relay::core::{Refusal, RelayCore};
@@ -100,7 +100,8 @@
     };
     let access = access.map_err(refusal_fault)?;
     let limits = shared.core.borrow().rules().limits();
-    let time_limit = head.time_limit.unwrap_or(access.route.time_limit).min(access.route.time_limit);
+    let time_limit =
+        head.time_limit.unwrap_or(access.route.time_limit).min(access.route.time_limit);
     let deadline = arrived + time_limit;
     let body = read_body(body, limits.max_body, time_limit).await.map_err(body_fault)?;
     // Reading the body may take long, so the configuration must still be current after it.
@@ -151,10 +152,10 @@
 ) -> Option<PromptNeed> {
     let rules = shared.core.borrow().rules();
     rules.service(service)?.engine.as_ref()?;
-    let max_tokens = head.most_answer_tokens.unwrap_or(DEFAULT_ANSWER_TOKENS);
+    let max_tokens = head.max_answer_tokens.unwrap_or(DEFAULT_ANSWER_TOKENS);
     Some(PromptNeed {
         prompt_tokens: head.prompt_tokens.unwrap_or(0),
-        answer_tokens: head.guessed_answer_tokens.unwrap_or(max_tokens).min(max_tokens),
+        answer_tokens: head.expected_answer_tokens.unwrap_or(max_tokens).min(max_tokens),
         first_event_limit: route.objective,
         waited: Duration::ZERO,
         time_left: route.time_limit,
--- a/src/relay/proxy/forward.rs
+++ b/src/relay/proxy/forward.rs
@@ -14,9 +14,9 @@
 use hyper::{Method, Request, Response, Uri};
 
 use super::connections::{TargetConnection, connect};
-use super::dialect::{AnswerHead, CallerHead, HelperSeat, TargetHead};
 use super::memory_hold::MemoryHold;
-use crate::relay::core::{AttemptShare, RelayCore};
+use super::protocol::{AnswerHead, CallerHead, HelperReservation, TargetHead};
+use crate::relay::core::{PlacedAttempt, RelayCore};
 use crate::relay::decide::placement::{Placement, PromptNeed};
 use crate::relay::decide::request_digest::RequestDigest;
 use crate::relay::decide::send_count::SendEnd;
@@ -226,7 +226,7 @@
 /// connection unless it was returned to the pool.
 pub(crate) struct AttemptGuard {
     shared: Rc<RelayShared>,
-    pub(crate) share: AttemptShare,
+    pub(crate) share: PlacedAttempt,
     connection: Option<TargetConnection>,
     /// Released on drop.
     memory: Option<MemoryHold>,
@@ -359,10 +359,10 @@
 fn to_helpers(
     shared: &RelayShared,
     placement: &Placement,
-) -> Result<Vec<HelperSeat>, AttemptFault> {
+) -> Result<Vec<HelperReservation>, AttemptFault> {
     let helpers = placement.helpers.iter().map(|name| {
         let address = shared.address_of(name);
-        address.map(|address| HelperSeat { address, reservation: None })
+        address.map(|address| HelperReservation { address, reservation: None })
     });
     let helpers: Option<Vec<_>> = helpers.collect();
     helpers.ok_or_else(|| AttemptFault::not_sent("a helper is gone"))
@@ -372,7 +372,7 @@
     shared: &RelayShared,
     job: &RelayJob,
     placement: &Placement,
-    helpers: &[HelperSeat],
+    helpers: &[HelperReservation],
     resume_after: Option<u64>,
 ) -> Request<Full<Bytes>> {
     let mut headers = job.headers.clone();
@@ -397,7 +397,7 @@
     shared: &RelayShared,
     job: &RelayJob,
     placement: &Placement,
-    share: &AttemptShare,
+    share: &PlacedAttempt,
     may_hedge: bool,
 ) -> AttemptFault {
     let sent_at = shared.now();
--- a/src/relay/proxy/ledger.rs
+++ b/src/relay/proxy/ledger.rs
@@ -7,7 +7,7 @@
 
 use super::answer::RelayFault;
 use crate::relay::decide::request_digest::RequestDigest;
-use crate::relay::record::{RequestEnd, RequestLine, SeriesEnd, StreamPace};
+use crate::relay::record::{RequestEnd, RequestLine, RetryStop, StreamPace};
 use crate::relay::shared::{OpenRequest, RelayShared};
 use crate::time::Tick;
 use crate::verdict::Verdict;
@@ -22,7 +22,7 @@
     /// Digest of the request; set once an attempt has failed.
     pub(crate) digest: Option<RequestDigest>,
     /// Reason why the request was not sent again after a failure.
-    pub(crate) series_end: Option<SeriesEnd>,
+    pub(crate) series_end: Option<RetryStop>,
     pub(crate) pace: StreamPace,
     is_ended: bool,
     /// A planned stop waits until the whole answer is sent, rather than its head.
--- a/src/relay/proxy/memory_hold.rs
+++ b/src/relay/proxy/memory_hold.rs
@@ -13,12 +13,12 @@
 use hyper::{Method, Request, StatusCode};
 use tokio::task::AbortHandle;
 
-use super::dialect::{HelperSeat, Reservation, ReserveReply, TargetCall};
+use super::protocol::{HelperReservation, Reservation, ReserveReply, TargetCall};
 use crate::Result;
 use crate::client::full;
 use crate::relay::decide::placement::Placement;
-use crate::relay::decide::targets::{TargetLife, TargetState};
-use crate::relay::peers::load_note::LoadNote;
+use crate::relay::decide::targets::{TargetInstance, TargetState};
+use crate::relay::peers::peer_message::PeerMessage;
 use crate::relay::shared::RelayShared;
 
 /// Time after which a reservation expires unless it is renewed: less than two seconds, after which
@@ -38,7 +38,7 @@
 struct HeldReservation {
     address: SocketAddr,
     /// Instance that was asked for memory; `None` if the target is no longer listed.
-    instance: Option<TargetLife>,
+    instance: Option<TargetInstance>,
     reservation: Reservation,
 }
 
@@ -59,19 +59,22 @@
     pub(crate) async fn reserve(
         shared: &Rc<RelayShared>,
         placement: &Placement,
-        helpers: &mut [HelperSeat],
+        helpers: &mut [HelperReservation],
     ) -> std::result::Result<Self, String> {
         let mut hold =
             MemoryHold { shared: shared.clone(), reservations: Vec::new(), renewal_task: None };
         let mut wanted: Vec<_> = helpers.iter_mut().zip(&placement.reservations).collect();
         wanted.sort_by_key(|(helper, _)| helper.address);
         for (helper, memory) in wanted {
-            let id = format!("{:016x}{:08x}", shared.core.borrow().entry(), shared.next_reservation_number());
+            let id = format!(
+                "{:016x}{:08x}",
+                shared.core.borrow().entry(),
+                shared.next_reservation_number()
+            );
             // A waiting reservation blocks other requests at the engine, and may succeed too late.
             let may_wait = false;
             let tokens = memory.tokens;
-            let reservation =
-                Reservation { id: id.into(), tokens, ttl: RESERVATION_TTL, may_wait };
+            let reservation = Reservation { id: id.into(), tokens, ttl: RESERVATION_TTL, may_wait };
             helper.reservation = Some(reservation.id.clone());
             // Recorded before the call: a call without an answer may have taken effect and must be
             // released.
@@ -160,6 +163,8 @@
     let Some(instance) = &reserved.instance else { return };
     let has_rate_limit = |target: &TargetState| target.rate.is_some();
     if shared.core.borrow().targets.get(&instance.incarnation).is_some_and(has_rate_limit) {
-        shared.link.send_beside(reserved.address, &LoadNote::SentWithoutPermit(instance.clone()));
+        shared
+            .link
+            .send_beside(reserved.address, &PeerMessage::SentWithoutPermit(instance.clone()));
     }
 }
--- a/src/relay/proxy/mod.rs
+++ b/src/relay/proxy/mod.rs
@@ -3,18 +3,18 @@
 //! `exchange` accepts the request; `call` or `stream` serves it. `series` decides whether another
 //! attempt is made, `permit` requests a permit if the target is rate-limited, and `forward` sends
 //! one attempt. `crash_check` probes whether a plain target has crashed, and `answer` builds the
-//! caller's response. [`dialect`] defines the adapters for the protocols of callers and targets.
+//! caller's response. [`protocol`] defines the adapters for the protocols of callers and targets.
 
 pub(crate) mod answer;
 pub(crate) mod call;
 pub(crate) mod connections;
 pub(crate) mod crash_check;
-pub mod dialect;
 pub mod event_stream;
 pub(crate) mod exchange;
 pub(crate) mod forward;
 pub(crate) mod ledger;
 pub(crate) mod memory_hold;
 pub(crate) mod permit;
+pub mod protocol;
 pub(crate) mod series;
 pub(crate) mod stream;
--- a/src/relay/proxy/permit.rs
+++ b/src/relay/proxy/permit.rs
@@ -11,9 +11,9 @@
 use super::forward::RelayJob;
 use super::series::AttemptSeries;
 use crate::relay::core::permits::PermitVerdict;
-use crate::relay::decide::permit_desk::PermitReply;
+use crate::relay::decide::permit_issuer::PermitReply;
 use crate::relay::decide::placement::Placement;
-use crate::relay::peers::load_note::LoadNote;
+use crate::relay::peers::peer_message::PeerMessage;
 use crate::relay::shared::RelayShared;
 
 /// Time-out of a reply: some round trips between failure domains, and a slow host.
@@ -31,7 +31,7 @@
     let max_permit_wait = series.max_permit_wait(job, now);
     let query = shared.core.borrow().permit_query(placement, max_permit_wait, now);
     let Some(query) = query else { return true };
-    let message = |nonce| LoadNote::RequestPermit { nonce, ask: query.request.clone() };
+    let message = |nonce| PeerMessage::RequestPermit { nonce, ask: query.request.clone() };
     let reply = match query.agent_host {
         Some(address) => call_agent(shared, address, message).await,
         None => None,
@@ -59,7 +59,7 @@
     };
     let mut reply = None;
     for query in queries {
-        let message = |nonce| LoadNote::RequestRetryGrant { nonce, ask: query.request.clone() };
+        let message = |nonce| PeerMessage::RequestRetryGrant { nonce, ask: query.request.clone() };
         reply = call_agent(shared, query.agent_host, message).await;
         if reply.is_some() {
             break;
@@ -85,7 +85,7 @@
 async fn call_agent(
     shared: &RelayShared,
     address: SocketAddr,
-    to_message: impl FnOnce(u64) -> LoadNote,
+    to_message: impl FnOnce(u64) -> PeerMessage,
 ) -> Option<PermitReply> {
     let pending = PendingRequest { shared, nonce: rand::random() };
     let (reply_sender, reply_receiver) = oneshot::channel();
--- a/src/relay/proxy/dialect.rs
+++ b/src/relay/proxy/protocol.rs
@@ -24,14 +24,14 @@
     /// Number of tokens in the prompt.
     pub prompt_tokens: Option<u64>,
     /// Maximum number of tokens in the answer.
-    pub most_answer_tokens: Option<u64>,
+    pub max_answer_tokens: Option<u64>,
     /// Number of answer tokens that the caller expects.
-    pub guessed_answer_tokens: Option<u64>,
+    pub expected_answer_tokens: Option<u64>,
 }
 
 /// A target that helps to prefill a prompt.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct HelperSeat {
+pub struct HelperReservation {
     /// Address at which the helper listens.
     pub address: SocketAddr,
     /// Id of the memory reservation at the helper; `None` if the helper gives only compute time.
@@ -50,7 +50,7 @@
     /// Id of the last event that the caller has received.
     pub resume_after: Option<u64>,
     /// Targets that help to prefill the prompt.
-    pub helpers: &'a [HelperSeat],
+    pub helpers: &'a [HelperReservation],
 }
 
 /// Contents of the headers of a target's answer.
@@ -122,7 +122,7 @@
 
 /// Protocol adapter for callers.
 #[derive(Clone, Copy, Debug)]
-pub struct CallerDialect {
+pub struct CallerProtocol {
     /// Parses the headers of a request.
     pub parse_head: fn(&HeaderMap) -> CallerHead,
     /// Sets the time after which the caller may retry in the headers of an answer.
@@ -133,7 +133,7 @@
 
 /// Protocol adapter for targets.
 #[derive(Clone, Copy, Debug)]
-pub struct TargetDialect {
+pub struct TargetProtocol {
     /// Removes the caller's headers that are not meant for targets, and adds those of the
     /// [`TargetHead`].
     pub set_head: fn(&mut HeaderMap, &TargetHead<'_>),
--- a/src/relay/proxy/series.rs
+++ b/src/relay/proxy/series.rs
@@ -13,10 +13,10 @@
 use super::permit::acquire_retry;
 use crate::relay::core::RelayCore;
 use crate::relay::decide::placement::{Placement, TargetScope};
-use crate::relay::decide::return_time::after_reopening;
+use crate::relay::decide::retry_delay::after_reopening;
 use crate::relay::decide::send_count::{SendCount, SendEnd};
-use crate::relay::decide::targets::{TargetFault, TargetLife};
-use crate::relay::record::{FailedLine, PlacedLine, SeriesEnd};
+use crate::relay::decide::targets::{TargetFault, TargetInstance};
+use crate::relay::record::{FailedAttemptLine, PlacementLine, RetryStop};
 use crate::relay::shared::RelayShared;
 use crate::time::Tick;
 use crate::verdict::Verdict;
@@ -45,8 +45,9 @@
 /// request must not be sent to the target again.
 fn record_health(shared: &RelayShared, target: &Arc<str>, fault: &AttemptFault, now: Tick) -> bool {
     let mut core = shared.core.borrow_mut();
-    let is_helper_fault =
-        fault.failed_address.is_some_and(|address| core.record_helper_failure(target, address, now));
+    let is_helper_fault = fault
+        .failed_address
+        .is_some_and(|address| core.record_helper_failure(target, address, now));
     drop(core);
     if let Some(suspect) = fault.failed_address.or_else(|| fault.suspect_address(shared, target)) {
         shared.link.report_suspicion(suspect);
@@ -66,9 +67,9 @@
 pub(crate) struct AttemptSeries {
     tried: Vec<Arc<str>>,
     /// Instances of targets that may have run the request.
-    ran_on: Vec<TargetLife>,
+    ran_on: Vec<TargetInstance>,
     /// Instance that the request was last placed at.
-    placed_on: Option<TargetLife>,
+    placed_on: Option<TargetInstance>,
     /// Whether the last attempt was refused or could not be sent.
     was_refused: bool,
     /// Whether the request was placed at a target whose permit it has to wait for.
@@ -132,7 +133,7 @@
             self.placed_on = core.instance_of(&placement.target);
             placement
         };
-        let line = PlacedLine {
+        let line = PlacementLine {
             id: &job.id,
             target: &placement.target,
             helpers: &placement.helpers,
@@ -224,9 +225,9 @@
         job: &RelayJob,
         target: &Arc<str>,
         fault: AttemptFault,
-    ) -> Result<(), SeriesEnd> {
+    ) -> Result<(), RetryStop> {
         let now = shared.now();
-        let line = FailedLine {
+        let line = FailedAttemptLine {
             id: &job.id,
             digest: job.digest(),
             target,
@@ -252,10 +253,10 @@
             self.ran_on.push(instance);
         }
         if fault.is_timeout || now >= job.deadline {
-            return Err(SeriesEnd::TimeLimit);
+            return Err(RetryStop::TimeLimit);
         }
         if !fault.verdict.may_retry(job.route.repeat.is_repeatable()) {
-            return Err(SeriesEnd::NotRepeatable);
+            return Err(RetryStop::NotRepeatable);
         }
         self.acquire_send(shared, job, fault.is_sent).await
     }
@@ -266,17 +267,17 @@
         shared: &RelayShared,
         job: &RelayJob,
         is_sent: bool,
-    ) -> Result<(), SeriesEnd> {
+    ) -> Result<(), RetryStop> {
         let policy = shared.core.borrow().limits().policy;
         // A failure response of the target can be forwarded to the caller, so it earns no extra
         // run.
         let extra_runs = if self.answer.is_none() { policy.repeated_runs } else { 0 };
         let allowed_runs = job.route.max_targets + extra_runs;
         if !self.sends.allows(allowed_runs) {
-            return Err(SeriesEnd::MaxSends);
+            return Err(RetryStop::MaxSends);
         }
         if is_sent && !acquire_retry(shared, &job.service).await {
-            return Err(SeriesEnd::NoBudget);
+            return Err(RetryStop::NoBudget);
         }
         Ok(())
     }
--- a/src/relay/proxy/stream.rs
+++ b/src/relay/proxy/stream.rs
@@ -18,11 +18,11 @@
 use super::ledger::RequestLedger;
 use super::permit::acquire_permit;
 use super::series::AttemptSeries;
-use crate::relay::core::AttemptShare;
+use crate::relay::core::PlacedAttempt;
 use crate::relay::decide::placement::{Placement, PlacementAction, PromptNeed};
-use crate::relay::decide::return_time::after_overload;
+use crate::relay::decide::retry_delay::after_overload;
 use crate::relay::decide::targets::TargetFault;
-use crate::relay::record::{RequestEnd, SeriesEnd, StreamPace};
+use crate::relay::record::{RequestEnd, RetryStop, StreamPace};
 use crate::relay::shared::RelayShared;
 use crate::time::Tick;
 use crate::verdict::Verdict;
@@ -123,11 +123,11 @@
     let mut is_admitted = false;
     loop {
         if let Some(fault) = series.check_quarantine(shared, job) {
-            ledger.series_end = Some(SeriesEnd::Quarantined);
+            ledger.series_end = Some(RetryStop::Quarantined);
             return fail_stream(progress.output, &series, fault, ledger).await;
         }
         let Some(mut placement) = series.place(shared, job) else {
-            ledger.series_end = Some(SeriesEnd::NoTarget);
+            ledger.series_end = Some(RetryStop::NoTarget);
             let fault = series.final_fault(shared, job, false);
             return fail_stream(progress.output, &series, fault, ledger).await;
         };
@@ -305,7 +305,7 @@
 async fn next_frame(
     shared: &RelayShared,
     job: &RelayJob,
-    share: &AttemptShare,
+    share: &PlacedAttempt,
     body: &mut Incoming,
     may_hedge: bool,
 ) -> Result<Option<Bytes>, AttemptFault> {
--- a/src/relay/record.rs
+++ b/src/relay/record.rs
@@ -13,12 +13,12 @@
 
 use slog::{Drain, Logger, Never, OwnedKVList, Record, info, o, warn};
 
-use super::decide::rate_limit::RateWord;
+use super::decide::rate_limit::RateNotice;
 use super::decide::request_digest::RequestDigest;
 use super::decide::target_notice::TargetNotice;
 use super::decide::targets::ListChange;
-use super::discovery::feed::UnreadableEntry;
 use super::discovery::freshness::StalePolicy;
+use super::discovery::source::UnreadableEntry;
 use crate::time::Tick;
 use crate::verdict::Verdict;
 
@@ -95,7 +95,7 @@
 
 /// Reason for which a request was not retried after a failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
-pub enum SeriesEnd {
+pub enum RetryStop {
     /// The request may have run, and is not repeatable.
     #[display("may run once only")]
     NotRepeatable,
@@ -155,7 +155,7 @@
     /// Digest of the request, `Some` if an attempt of it failed.
     pub digest: Option<RequestDigest>,
     /// Reason for which the request was not retried after a failure.
-    pub retry_stop: Option<SeriesEnd>,
+    pub retry_stop: Option<RetryStop>,
     /// Time since the arrival of the request.
     pub elapsed: Duration,
     /// Time to the first event of a stream, and its longest pause.
@@ -168,7 +168,7 @@
 
 /// Fields of the log line of a failed attempt.
 #[derive(Debug)]
-pub struct FailedLine<'a> {
+pub struct FailedAttemptLine<'a> {
     /// Identifier that the caller gave to this send of the request.
     pub id: &'a str,
     /// Digest of the request.
@@ -183,7 +183,7 @@
 
 /// Fields of the log line of a placement.
 #[derive(Debug)]
-pub struct PlacedLine<'a> {
+pub struct PlacementLine<'a> {
     /// Identifier that the caller gave to this send of the request.
     pub id: &'a str,
     /// Name of the target that answers.
@@ -280,7 +280,7 @@
     }
 
     /// Logs a placement.
-    pub fn placed(&self, line: &PlacedLine<'_>, now: Tick) {
+    pub fn placed(&self, line: &PlacementLine<'_>, now: Tick) {
         let Some(left_out) = self.take_from_budget("placed", now) else { return };
         info!(self.logger, "placed";
             "id" => line.id, "target" => line.target, "helpers" => line.helpers.len(), "helped_by" => line.helpers.join(","),
@@ -291,7 +291,7 @@
     }
 
     /// Logs a failed attempt.
-    pub fn attempt_failed(&self, line: &FailedLine<'_>, now: Tick) {
+    pub fn attempt_failed(&self, line: &FailedAttemptLine<'_>, now: Tick) {
         let Some(left_out) = self.take_from_budget("attempt_failed", now) else { return };
         warn!(self.logger, "attempt failed";
             "id" => line.id, "digest" => %line.digest, "target" => line.target,
@@ -305,9 +305,9 @@
             "target" => target, "is_leaving" => notice.is_leaving,
             "backoff_ms" => notice.backoff.map(|duration| duration.as_millis() as u64),
             "rate" => match notice.rate {
-                RateWord::Absent => None,
-                RateWord::Unreadable => Some("unreadable".to_owned()),
-                RateWord::Limit(rate) => Some(rate.per_second().to_string()),
+                RateNotice::Absent => None,
+                RateNotice::Unreadable => Some("unreadable".to_owned()),
+                RateNotice::Limit(rate) => Some(rate.per_second().to_string()),
             },
             "left_out" => left_out);
     }
--- a/src/relay/server.rs
+++ b/src/relay/server.rs
@@ -17,15 +17,15 @@
 
 use super::core::RelayCore;
 use super::decide::start_wait::StartPhase;
-use super::discovery::feed::PlatformFeed;
 use super::discovery::follow_config::follow_config;
 use super::discovery::follow_quarantine::follow_quarantine;
-use super::discovery::follow_targets::{follow_list_share, follow_targets};
-use super::discovery::proof_share::PeerVerdict;
-use super::peers::config_copy::answer_copy;
-use super::peers::load_link::LoadLink;
-use super::proxy::dialect::{CallerDialect, TargetDialect};
+use super::discovery::follow_targets::{follow_targets, update_watching};
+use super::discovery::proof_sync::PeerVerdict;
+use super::discovery::source::DiscoverySource;
+use super::peers::config_copy::serve_copy;
+use super::peers::peer_link::PeerLink;
 use super::proxy::exchange::serve;
+use super::proxy::protocol::{CallerProtocol, TargetProtocol};
 use super::record::{DecisionLog, StdoutLog};
 use super::settings::{RelaySettings, SettingsFile};
 use super::shared::RelayShared;
@@ -51,11 +51,11 @@
 /// Protocols that the platform defines for callers, targets and its store.
 pub struct RelayAdapter {
     /// Protocol of the callers.
-    pub caller_protocol: CallerDialect,
+    pub caller_protocol: CallerProtocol,
     /// Protocol of the targets.
-    pub target_protocol: TargetDialect,
+    pub target_protocol: TargetProtocol,
     /// Source of the configuration and the target list: the platform's store.
-    pub source: PlatformFeed,
+    pub source: DiscoverySource,
 }
 
 /// Runs the relay until `stop` completes, and then until its open requests have ended.
@@ -84,7 +84,7 @@
     let callers = TcpListener::bind(settings.listen).await?;
     let readiness = TcpListener::bind(settings.readiness_listen).await?;
     let metrics = TcpListener::bind(settings.metrics_listen).await?;
-    let link = LoadLink::bind(settings.load_listen).await?;
+    let link = PeerLink::bind(settings.load_listen).await?;
     let config_copies = TcpListener::bind(link.address()).await?;
     let limits = settings.to_limits();
     slog::info!(log.logger, "start"; "listen" => %settings.listen, "version" => env!("CARGO_PKG_VERSION"));
@@ -124,7 +124,7 @@
     tokio::task::spawn_local(accept_callers(shared.clone(), callers, closing));
     tokio::task::spawn_local(serve_paths(shared.clone(), readiness, answer_status));
     tokio::task::spawn_local(serve_paths(shared.clone(), metrics, answer_status));
-    tokio::task::spawn_local(serve_paths(shared.clone(), config_copies, answer_copy));
+    tokio::task::spawn_local(serve_paths(shared.clone(), config_copies, serve_copy));
     tokio::task::spawn_local(sweep(shared.clone()));
     tokio::task::spawn_local(super::peers::receive::receive(shared.clone()));
     let stop_limit = settings.stop_limit();
@@ -286,7 +286,7 @@
         shared.log.targets_changed(&change);
         shared.report_suspects();
         shared.core.borrow_mut().choose_engines(now);
-        follow_list_share(&shared, now);
+        update_watching(&shared, now);
         shared.core.borrow_mut().expire_rates(now);
         shared.link.subscribe(&mut shared.core.borrow_mut(), now);
         was_held = log_proof(&shared, was_held, now);
--- a/src/relay/settings.rs
+++ b/src/relay/settings.rs
@@ -77,7 +77,7 @@
 /// Settings of an agent that runs as load coordinator.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct AdviserSettings {
+pub struct CoordinatorSettings {
     /// Name of this process.
     pub name: Arc<str>,
     /// Address for messages from entries.
@@ -154,7 +154,7 @@
     }
 }
 
-impl AdviserSettings {
+impl CoordinatorSettings {
     /// Reads and validates a settings file.
     ///
     /// # Errors
--- a/src/relay/shared.rs
+++ b/src/relay/shared.rs
@@ -10,17 +10,17 @@
 
 use super::core::RelayCore;
 use super::counts::RelayCounts;
-use super::decide::permit_desk::PermitReply;
+use super::decide::permit_issuer::PermitReply;
 use super::decide::start_wait::{StartPhase, start_wait};
 use super::decide::target_notice::TargetNotice;
-use super::decide::targets::TargetLife;
-use super::discovery::feed::{ConfigNews, ConfigRead, EvacuationList};
-use super::discovery::proof_share::{PeerProof, PeerVerdict};
-use super::discovery::watch_pace::watch_timeout;
-use super::peers::load_link::LoadLink;
-use super::peers::load_note::LoadNote;
+use super::decide::targets::TargetInstance;
+use super::discovery::proof_sync::{PeerProof, PeerVerdict};
+use super::discovery::source::{ConfigRead, ConfigUpdate, EvacuationList};
+use super::discovery::watch_timing::watch_timeout;
+use super::peers::peer_link::PeerLink;
+use super::peers::peer_message::PeerMessage;
 use super::proxy::connections::ConnectionPool;
-use super::proxy::dialect::{CallerDialect, TargetDialect};
+use super::proxy::protocol::{CallerProtocol, TargetProtocol};
 use super::record::DecisionLog;
 use crate::client::HttpClient;
 use crate::clock::ProcessClock;
@@ -34,8 +34,8 @@
 pub(crate) struct RelayShared {
     pub(crate) core: RefCell<RelayCore>,
     pub(crate) pool: RefCell<ConnectionPool>,
-    pub(crate) caller_protocol: CallerDialect,
-    pub(crate) target_protocol: TargetDialect,
+    pub(crate) caller_protocol: CallerProtocol,
+    pub(crate) target_protocol: TargetProtocol,
     pub(crate) log: DecisionLog,
     pub(crate) counts: RefCell<RelayCounts>,
     /// Whether a planned stop has begun.
@@ -51,7 +51,7 @@
     /// Notified by the watch of the configuration, on an update or at its end.
     pub(crate) config_changed: Notify,
     /// The newest update from that watch that has not been applied yet.
-    pub(crate) config_update: RefCell<Option<Box<ConfigNews>>>,
+    pub(crate) config_update: RefCell<Option<Box<ConfigUpdate>>>,
     /// Notified when the list has to be read, or when this entry starts or stops watching it.
     pub(crate) list_due: Notify,
     /// Verdict on the last proof received from another entry.
@@ -59,12 +59,12 @@
     /// Notified when another entry has answered a request for its proof.
     pub(crate) proof_received: Notify,
     /// Target instances that are currently checked for a crash.
-    pub(crate) crash_checks: RefCell<HashSet<TargetLife>>,
+    pub(crate) crash_checks: RefCell<HashSet<TargetInstance>>,
     /// Counts the resumptions of the host after a suspension.
     pub(crate) resumptions: watch::Sender<u64>,
     /// Notified when the store has to record that a request is quarantined.
     pub(crate) quarantine_write_due: Notify,
-    pub(crate) link: LoadLink,
+    pub(crate) link: PeerLink,
     /// Client for memory reservations and for copies of other entries' configurations.
     pub(crate) http_client: HttpClient,
     /// Number of the next memory reservation.
@@ -95,7 +95,7 @@
     /// With `None` for `sent_at`, an answer without a rate says nothing.
     pub(crate) fn apply_notice(
         &self,
-        instance: Option<&TargetLife>,
+        instance: Option<&TargetInstance>,
         notice: &TargetNotice,
         sent_at: Option<Tick>,
     ) {
@@ -119,7 +119,11 @@
 
     /// Runs `work` until a tick, `None` if the tick comes first. Timers stand still while the host
     /// is suspended, so the clock is read again when the host resumes.
-    pub(crate) async fn run_until<T>(&self, tick: Tick, work: impl Future<Output = T>) -> Option<T> {
+    pub(crate) async fn run_until<T>(
+        &self,
+        tick: Tick,
+        work: impl Future<Output = T>,
+    ) -> Option<T> {
         let mut resumes = self.resumptions.subscribe();
         tokio::pin!(work);
         loop {
@@ -204,7 +208,7 @@
     pub(crate) fn send_messages(&self) {
         let mut core = self.core.borrow_mut();
         for message in core.take_messages() {
-            if let LoadNote::RequestSuspected(report) = &message {
+            if let PeerMessage::RequestSuspected(report) = &message {
                 self.log.suspected(report.digest, report.instances.len());
             }
             self.link.send(&core, &message);
--- a/standins/src/control.rs
+++ b/standins/src/control.rs
@@ -1,7 +1,7 @@
 //! What entries cost the platform's store, by the size of the fleet: how a few of them watch
 //! the list of targets and the configuration for all, played in virtual time.
 //!
-//! Entries share by the product's own parts ([`ListShare`], [`ConfigShare`]) through its own
+//! Entries share by the product's own parts ([`TargetListSync`], [`ConfigSync`]) through its own
 //! agents ([`SubscriberSet`]). Modelled are the store, datagrams that are lost, and the pace of
 //! watches; proofs are left out.
 
@@ -14,11 +14,13 @@
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use serde::Serialize;
-use shalelane::relay::discovery::config_share::ConfigShare;
-use shalelane::relay::discovery::list_share::{ListNews, ListShare, NewsTeller};
+use shalelane::relay::discovery::config_sync::ConfigSync;
 use shalelane::relay::discovery::store_revision::StoreRevision;
-use shalelane::relay::discovery::watch_pace::{NEWS_STEP, list_rest};
-use shalelane::relay::peers::load_note::{LoadNote, MAX_NOTE};
+use shalelane::relay::discovery::target_list_sync::{
+    TargetListSync, TargetListUpdate, UpdateAnnouncer,
+};
+use shalelane::relay::discovery::watch_timing::{MIN_WATCH_INTERVAL, list_watch_delay};
+use shalelane::relay::peers::peer_message::{MAX_DATAGRAM_BYTES, PeerMessage};
 use shalelane::relay::peers::subscriber_set::SubscriberSet;
 use shalelane::time::Tick;
 
@@ -106,8 +108,8 @@
 
 struct ControlEntry {
     address: SocketAddr,
-    list: ListShare,
-    config: ConfigShare,
+    list: TargetListSync,
+    config: ConfigSync,
     config_revision: u64,
     has_started: bool,
     /// From where its own watch goes on, and when.
@@ -165,8 +167,8 @@
                 order.shuffle(&mut random);
                 ControlEntry {
                     address: ([10, 1, (number >> 8) as u8, number as u8], 7_000).into(),
-                    list: ListShare::default(),
-                    config: ConfigShare::default(),
+                    list: TargetListSync::default(),
+                    config: ConfigSync::default(),
                     config_revision: 0,
                     has_started: false,
                     watched: 0,
@@ -260,11 +262,15 @@
 
     fn subscribe(&mut self, number: usize) {
         let entry = &self.entries[number];
-        let list_mark = entry.list.is_watching().then_some(entry.list.announced());
-        let config_mark = Some(revision(entry.config_revision));
+        let watched_revision = entry.list.is_watching().then_some(entry.list.announced());
+        let confirmed_revision = Some(revision(entry.config_revision));
         let entry_id = number as u64;
-        let note =
-            LoadNote::Subscribe { entry: entry_id, proof_age_ms: None, list_mark, config_mark };
+        let note = PeerMessage::Subscribe {
+            entry: entry_id,
+            proof_age_ms: None,
+            watched_revision,
+            confirmed_revision,
+        };
         let from = entry.address;
         let mut agents = entry.agents.clone();
         agents.retain(|agent| *agent < self.listed);
@@ -279,19 +285,21 @@
     }
 
     /// Gives an entry a note that takes so many datagrams.
-    fn deliver(&mut self, to: SocketAddr, note: &LoadNote, datagrams: usize) {
+    fn deliver(&mut self, to: SocketAddr, note: &PeerMessage, datagrams: usize) {
         let is_lost = (0..datagrams).any(|_| self.is_lost());
         let Some(number) = self.numbers.get(&to).copied().filter(|_| !is_lost) else { return };
         let now = self.now;
         let entry = &mut self.entries[number];
         match note {
-            LoadNote::SubscriptionAck { watchers, list_mark, config_mark, .. } => {
-                entry.list.record_agent_report(*watchers, *list_mark, now);
-                if let Some(mark) = config_mark {
+            PeerMessage::SubscriptionAck {
+                watchers, watched_revision, confirmed_revision, ..
+            } => {
+                entry.list.record_agent_report(*watchers, *watched_revision, now);
+                if let Some(mark) = confirmed_revision {
                     entry.config.record_announced(*mark, revision(entry.config_revision), now);
                 }
             }
-            LoadNote::TargetListChanged(news) => {
+            PeerMessage::TargetListChanged(news) => {
                 entry.list.apply_update(news, now);
             }
             _ => {}
@@ -336,7 +344,7 @@
         }
         let entry = &mut self.entries[number];
         entry.watched = self.list_revision;
-        entry.list_rests_until = now + list_rest(now.since(Tick::default()), DRAIN_BOUND);
+        entry.list_rests_until = now + list_watch_delay(now.since(Tick::default()), DRAIN_BOUND);
         if is_watching {
             entry.list.record_watched(revision(self.list_revision));
         } else {
@@ -351,22 +359,22 @@
             return;
         }
         let changes = (self.list_revision - since) as usize;
-        let news = ListNews {
+        let news = TargetListUpdate {
             since: revision(since),
             revision: revision(self.list_revision),
             age_ms: 0,
             changes: Vec::new(),
         };
         let mark = news.revision;
-        self.tell(number, &LoadNote::TargetListChanged(news), changes * CHANGE_BYTES);
+        self.tell(number, &PeerMessage::TargetListChanged(news), changes * CHANGE_BYTES);
         self.entries[number].list.record_announced(mark);
     }
 
     /// Has a few agents tell the others something of so many bytes.
-    fn tell(&mut self, number: usize, note: &LoadNote, bytes: usize) {
-        let datagrams = bytes.div_ceil(MAX_NOTE).max(1);
+    fn tell(&mut self, number: usize, note: &PeerMessage, bytes: usize) {
+        let datagrams = bytes.div_ceil(MAX_DATAGRAM_BYTES).max(1);
         let from = self.entries[number].address;
-        for agent in self.tellers(NewsTeller::OneEntry) {
+        for agent in self.tellers(UpdateAnnouncer::OneEntry) {
             for out in self.agents[agent].on_message(note, from, 100, self.now) {
                 self.deliver(out.to, &out.message, datagrams);
             }
@@ -374,7 +382,7 @@
     }
 
     /// Agents that pass on what an entry tells.
-    fn tellers(&mut self, teller: NewsTeller) -> Vec<usize> {
+    fn tellers(&mut self, teller: UpdateAnnouncer) -> Vec<usize> {
         let count = teller.relay_agents(MOST_ENGINES.min(self.listed), self.listed);
         let mut agents: Vec<usize> = (0..self.listed).collect();
         agents.shuffle(&mut self.random);
@@ -401,7 +409,7 @@
         let entry = &mut self.entries[number];
         entry.config_watched = newest;
         entry.config_revision = newest;
-        entry.config_rests_until = now + NEWS_STEP;
+        entry.config_rests_until = now + MIN_WATCH_INTERVAL;
         entry.config.record_read(revision(newest));
     }
 
@@ -411,7 +419,7 @@
         }
         let (since, mark) = (self.entries[number].config_watched, self.config_revision);
         // What an agent passes on reaches those that use its engine.
-        for agent in self.tellers(NewsTeller::AllWatchers) {
+        for agent in self.tellers(UpdateAnnouncer::AllWatchers) {
             for other in 0..self.entries.len() {
                 if !self.entries[other].agents.contains(&agent) || self.is_lost() {
                     continue;
@@ -421,7 +429,11 @@
                     entry.config_revision = entry.config_revision.max(mark);
                     entry.config.record_own(revision(entry.config_revision));
                 } else {
-                    entry.config.record_announced(revision(mark), revision(entry.config_revision), now);
+                    entry.config.record_announced(
+                        revision(mark),
+                        revision(entry.config_revision),
+                        now,
+                    );
                 }
             }
         }
--- a/standins/src/replay/world.rs
+++ b/standins/src/replay/world.rs
@@ -7,18 +7,18 @@
 
 use rand::SeedableRng;
 use rand::rngs::StdRng;
-use shalelane::relay::core::{AttemptShare, RelayCore, RelayLimits};
+use shalelane::relay::core::{PlacedAttempt, RelayCore, RelayLimits};
 use shalelane::relay::decide::engine_rates::EngineRates;
 use shalelane::relay::decide::placement::{Placement, PlacementAction, PromptNeed, TargetScope};
 use shalelane::relay::decide::policy::RelayPolicy;
 use shalelane::relay::decide::retry_budget::RetryBound;
-use shalelane::relay::decide::return_time::after_overload;
+use shalelane::relay::decide::retry_delay::after_overload;
 use shalelane::relay::decide::targets::TargetRecord;
 use shalelane::relay::decide::warmup::WarmupBound;
 use shalelane::relay::discovery::freshness::StalePolicy;
 use shalelane::relay::discovery::rules::{RelayConfig, ServiceRule};
 use shalelane::relay::discovery::store_revision::StoreRevision;
-use shalelane::relay::peers::load_note::LoadNote;
+use shalelane::relay::peers::peer_message::PeerMessage;
 use shalelane::time::{Tick, TimerService};
 
 use super::engine::{EngineRead, ReplayEngine, RequestNumber};
@@ -81,7 +81,7 @@
     UnitEnd(usize),
     /// An event of a stream reaches its entry.
     Event(RequestNumber, u32),
-    Note(usize, LoadNote),
+    Note(usize, PeerMessage),
     TimeUp(RequestNumber),
 }
 
@@ -91,7 +91,7 @@
     /// When its caller sent this attempt, and the number of it.
     arrived: Tick,
     attempt: u32,
-    share: Option<AttemptShare>,
+    share: Option<PlacedAttempt>,
     target: usize,
     /// Parts that are not read yet.
     unread: usize,
@@ -329,7 +329,8 @@
         request.share = Some(share);
         request.target = target;
         request.unread = parts as usize;
-        request.context = (need.prompt_tokens + need.answer_tokens / 2) / (placement.reservations.len() as u64 + 1);
+        request.context = (need.prompt_tokens + need.answer_tokens / 2)
+            / (placement.reservations.len() as u64 + 1);
     }
 
     /// Passes on what an entry has to tell the others.
--- a/tests/relay/budget.rs
+++ b/tests/relay/budget.rs
@@ -4,23 +4,24 @@
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use shalelane::relay::decide::permit_desk::PermitReply;
+use shalelane::relay::decide::permit_issuer::PermitReply;
 use shalelane::relay::decide::retry_budget::{RetryBound, RetryBudget};
-use shalelane::relay::decide::slack_gate::{SlackAsk, SlackGate};
+use shalelane::relay::decide::shared_retry_budget::{RetryGrantRequest, SharedRetryBudget};
 
 use crate::fixture::{at, check, ms, name};
 
 const BOUND: RetryBound = RetryBound { ratio: 0.2, slack: 100.0, window: Duration::from_secs(10) };
 
-fn request(is_second: bool) -> SlackAsk {
+fn request(is_second: bool) -> RetryGrantRequest {
     let window_ms = BOUND.window.as_millis() as u32;
-    SlackAsk { service: name("plain"), slack: BOUND.slack, window_ms, is_second }
+    RetryGrantRequest { service: name("plain"), slack: BOUND.slack, window_ms, is_second }
 }
 
 /// Spends a retry of an entry, of its own ratio or by a grant of the agent.
-fn take(budget: &mut RetryBudget, shared: &mut SlackGate, millis: u64) -> bool {
+fn take(budget: &mut RetryBudget, shared: &mut SharedRetryBudget, millis: u64) -> bool {
     let now = at(millis);
-    budget.take(now) || matches!(shared.on_request(&request(false), now), PermitReply::Granted { .. })
+    budget.take(now)
+        || matches!(shared.on_request(&request(false), now), PermitReply::Granted { .. })
 }
 
 /// Times of the requests and retries of a fleet, in milliseconds.
@@ -45,7 +46,7 @@
     fn property(steps: Vec<(u8, u8, bool)>) -> bool {
         const ENTRIES: usize = 5;
         let mut budgets: Vec<_> = (0..ENTRIES).map(|_| RetryBudget::new(BOUND)).collect();
-        let mut shared = SlackGate::default();
+        let mut shared = SharedRetryBudget::default();
         let (mut now, mut count) = (100_000, FleetCount::default());
         for (entry, wait, is_request) in steps {
             now += u64::from(wait);
@@ -69,13 +70,13 @@
         let mut random = StdRng::seed_from_u64(entries);
         let new = || RetryBudget::new(BOUND);
         let mut budgets: Vec<_> = (0..entries).map(|_| new()).collect();
-        let mut shared = SlackGate::default();
+        let mut shared = SharedRetryBudget::default();
         let mut started_at = 0;
         let mut count = FleetCount::default();
         for step in 0..300 {
             let now = 100_000 + step * 100;
             if step % 70 == 69 {
-                (shared, started_at) = (SlackGate::default(), now);
+                (shared, started_at) = (SharedRetryBudget::default(), now);
             }
             if step % 50 == 25 {
                 budgets = (0..entries).map(|_| new()).collect();
@@ -100,7 +101,7 @@
 
 #[test]
 fn both_agents_together_stay_within_the_shared_budget() {
-    let mut shared = SlackGate::default();
+    let mut shared = SharedRetryBudget::default();
     let mut granted = 0;
     for step in 0..100 {
         for _ in 0..20 {
@@ -115,7 +116,7 @@
 
 #[test]
 fn a_refusal_states_when_the_next_retry_is_available() {
-    let mut shared = SlackGate::default();
+    let mut shared = SharedRetryBudget::default();
     let replies = (0..80).map(|_| shared.on_request(&request(false), at(100_000)));
     let last = replies.last().unwrap();
     let PermitReply::Refused { wait_ms } = last else { panic!("{last:?}") };
@@ -126,9 +127,9 @@
 #[test]
 fn a_bound_that_is_not_positive_and_finite_grants_nothing() {
     for slack in [0.0, -5.0, f64::NAN, f64::INFINITY] {
-        let mut shared = SlackGate::default();
+        let mut shared = SharedRetryBudget::default();
         for window_ms in [0, 10_000] {
-            let request = SlackAsk { slack, window_ms, ..request(false) };
+            let request = RetryGrantRequest { slack, window_ms, ..request(false) };
             let reply = shared.on_request(&request, at(100_000));
             assert!(matches!(reply, PermitReply::Refused { .. }), "{slack}: {reply:?}");
         }
@@ -159,7 +160,7 @@
 /// Counts the retries that an agent grants within `span` milliseconds, asked all the time from
 /// the millisecond `from` after its start.
 fn granted(is_second: bool, from: u64, span: u64) -> usize {
-    let mut shared = SlackGate::default();
+    let mut shared = SharedRetryBudget::default();
     let replies = (from..from + span).step_by(5).flat_map(|millis| {
         let replies: Vec<_> =
             (0..40).map(|_| shared.on_request(&request(is_second), at(millis))).collect();
