--- a/tests/relay/config_news.rs
+++ b/tests/relay/config_updates.rs
@@ -4,12 +4,12 @@
 
 use shalelane::relay::core::{Refusal, RelayCore};
 use shalelane::relay::discovery::config_delta::ConfigDelta;
-use shalelane::relay::discovery::config_share::ConfigShare;
-use shalelane::relay::discovery::feed::ConfigRead;
+use shalelane::relay::discovery::config_sync::ConfigSync;
 use shalelane::relay::discovery::freshness::StalePolicy;
-use shalelane::relay::discovery::proof_share::{PeerProof, PeerVerdict};
+use shalelane::relay::discovery::proof_sync::{PeerProof, PeerVerdict};
 use shalelane::relay::discovery::rules::{AccountRule, RelayConfig, ServiceRule};
-use shalelane::relay::peers::load_note::LoadNote;
+use shalelane::relay::discovery::source::ConfigRead;
+use shalelane::relay::peers::peer_message::PeerMessage;
 use shalelane::time::Tick;
 
 use crate::fixture::{at, check, config_update, limits, ms, name, revision, route};
@@ -72,10 +72,11 @@
     watch_update(&mut watcher, 6, large.clone(), at(1_400));
     let mut changed = RelayConfig { version: 2, ..large };
     changed.routes[7].time_limit = ms(700);
-    let message = LoadNote::ConfigChanged(watch_update(&mut watcher, 7, changed, at(1_500)).into());
+    let message =
+        PeerMessage::ConfigChanged(watch_update(&mut watcher, 7, changed, at(1_500)).into());
     let bytes = message.to_bytes().unwrap();
     assert!(bytes.len() < 700, "{} bytes", bytes.len());
-    assert_eq!(LoadNote::from_bytes(&bytes).unwrap(), message);
+    assert_eq!(PeerMessage::from_bytes(&bytes).unwrap(), message);
 }
 
 /// Versions never decrease, and missed updates are noticed.
@@ -125,15 +126,15 @@
 #[test]
 fn a_revision_reported_by_agents_reveals_lost_updates() {
     let mut core = entry(1);
-    let acknowledgement = LoadNote::SubscriptionAck {
+    let acknowledgement = PeerMessage::SubscriptionAck {
         target: name("t"),
         entries: 9,
         pace_percent: 100,
         proof_age_ms: None,
         proof_from: None,
         watchers: 8,
-        list_mark: None,
-        config_mark: Some(revision(7)),
+        watched_revision: None,
+        confirmed_revision: Some(revision(7)),
     };
     core.apply_message(acknowledgement, at(2_000));
     assert!(core.is_config_behind(at(2_900)));
@@ -143,7 +144,7 @@
 
 #[test]
 fn a_listener_reads_the_store_sooner_than_a_watcher() {
-    let mut sync = ConfigShare::default();
+    let mut sync = ConfigSync::default();
     sync.record_announced(revision(7), revision(5), at(1_000));
     assert!(sync.is_behind(false, at(1_150)));
     assert!(!sync.is_behind(true, at(1_700)), "its watch may be delayed between two answers");
@@ -154,20 +155,21 @@
 
 /// Passes the answer of `other` to a proof query of `core` back to `core`.
 fn exchange_proof(core: &mut RelayCore, other: &RelayCore, now: Tick) -> Option<PeerVerdict> {
-    let acknowledgement = LoadNote::SubscriptionAck {
+    let acknowledgement = PeerMessage::SubscriptionAck {
         target: name("t"),
         entries: 2,
         pace_percent: 100,
         proof_age_ms: other.lease().age(now).map(|age| age.as_millis() as u32),
         proof_from: Some(([10, 0, 1, 2], 7_000).into()),
         watchers: 0,
-        list_mark: None,
-        config_mark: None,
+        watched_revision: None,
+        confirmed_revision: None,
     };
     core.apply_message(acknowledgement, now);
-    let (_, LoadNote::QueryProof { nonce }) = core.request_proof(now)? else { return None };
+    let (_, PeerMessage::QueryProof { nonce }) = core.request_proof(now)? else { return None };
     let answer = other.answer_proof_request(nonce, now)?;
-    let LoadNote::AnswerProof { nonce, revision, config_digest, proof_age_ms, evacuated } = answer
+    let PeerMessage::AnswerProof { nonce, revision, config_digest, proof_age_ms, evacuated } =
+        answer
     else {
         return None;
     };
--- a/tests/relay/crashes.rs
+++ b/tests/relay/crashes.rs
@@ -10,8 +10,8 @@
 use shalelane::relay::decide::targets::TargetFault;
 use shalelane::relay::discovery::freshness::StalePolicy;
 use shalelane::relay::discovery::rules::{RelayConfig, ServiceRule};
-use shalelane::relay::peers::engine_watch::{EngineWatch, ReportEnd};
-use shalelane::relay::peers::load_note::LoadNote;
+use shalelane::relay::peers::engine_health::{EngineHealth, PollResult};
+use shalelane::relay::peers::peer_message::PeerMessage;
 use shalelane::time::Tick;
 
 use crate::fixture::{at, limits, ms, name, need, rates, record};
@@ -135,16 +135,16 @@
 
 #[test]
 fn an_agent_polls_its_engine_at_once_if_an_entry_suspects_it() {
-    let mut watch = EngineWatch::default();
+    let mut watch = EngineHealth::default();
     assert!(!watch.is_due(false, at(0)), "nothing to do");
     watch.record_suspicion(entry_address(1), at(5));
     assert!(watch.is_due(false, at(10)));
-    assert!(watch.record_report(ReportEnd::Refused));
+    assert!(watch.record_report(PollResult::Refused));
     assert!(!watch.is_due(false, at(20)));
     watch.record_suspicion(entry_address(1), at(45));
     assert!(!watch.is_due(false, at(50)), "some entries suspect it at the same moment");
     assert!(watch.is_due(false, at(410)), "polled again while it is down");
-    assert!(!watch.record_report(ReportEnd::Pace(150)));
+    assert!(!watch.record_report(PollResult::Pace(150)));
     assert_eq!(watch.pace_percent(), 150);
 }
 
@@ -157,13 +157,13 @@
 /// left then; 85 requests of all kinds failed in ten seconds.
 #[test]
 fn an_agent_reports_an_engine_that_two_entries_suspect() {
-    let mut watch = EngineWatch::default();
+    let mut watch = EngineHealth::default();
     assert!(!watch.record_suspicion(entry_address(1), at(0)));
     assert!(!watch.record_suspicion(entry_address(1), at(200)), "one entry may be disconnected");
     assert!(watch.record_suspicion(entry_address(2), at(300)));
     assert!(!watch.record_suspicion(entry_address(3), at(310)), "reported a moment ago");
     assert!(watch.record_suspicion(entry_address(3), at(450)), "and still suspected");
-    assert!(!watch.record_report(ReportEnd::Pace(100)), "its report does not show the failure");
+    assert!(!watch.record_report(PollResult::Pace(100)), "its report does not show the failure");
     assert!(
         !watch.record_suspicion(entry_address(4), at(2_000)),
         "the other suspicions are outdated"
@@ -172,11 +172,11 @@
 
 #[test]
 fn one_late_report_does_not_make_an_engine_down() {
-    let mut watch = EngineWatch::default();
-    assert!(!watch.record_report(ReportEnd::Missed));
-    assert!(!watch.record_report(ReportEnd::Pace(100)));
-    assert!(!watch.record_report(ReportEnd::Missed));
-    assert!(watch.record_report(ReportEnd::Missed));
+    let mut watch = EngineHealth::default();
+    assert!(!watch.record_report(PollResult::Missed));
+    assert!(!watch.record_report(PollResult::Pace(100)));
+    assert!(!watch.record_report(PollResult::Missed));
+    assert!(watch.record_report(PollResult::Missed));
 }
 
 /// Entries are counted even if each agent knows only a part of them.
@@ -191,16 +191,16 @@
     assert_eq!(core.fleet_entries(), Some(75));
 }
 
-fn subscription_ack(target: Arc<str>, entries: u32) -> LoadNote {
+fn subscription_ack(target: Arc<str>, entries: u32) -> PeerMessage {
     let (proof_age_ms, proof_from) = (None, None);
-    LoadNote::SubscriptionAck {
+    PeerMessage::SubscriptionAck {
         target,
         entries,
         pace_percent: 100,
         proof_age_ms,
         proof_from,
         watchers: 0,
-        list_mark: None,
-        config_mark: None,
+        watched_revision: None,
+        confirmed_revision: None,
     }
 }
--- a/tests/relay/evacuations.rs
+++ b/tests/relay/evacuations.rs
@@ -4,11 +4,11 @@
 use shalelane::relay::decide::evacuation::EvacuationSet;
 use shalelane::relay::decide::placement::{Placement, TargetScope};
 use shalelane::relay::decide::targets::TargetRecord;
-use shalelane::relay::discovery::feed::EvacuationList;
 use shalelane::relay::discovery::freshness::StalePolicy;
-use shalelane::relay::discovery::proof_share::{PeerProof, PeerVerdict};
+use shalelane::relay::discovery::proof_sync::{PeerProof, PeerVerdict};
 use shalelane::relay::discovery::rules::{RelayConfig, ServiceRule};
-use shalelane::relay::peers::load_note::{LoadNote, MAX_NOTE};
+use shalelane::relay::discovery::source::EvacuationList;
+use shalelane::relay::peers::peer_message::{MAX_DATAGRAM_BYTES, PeerMessage};
 use shalelane::time::Tick;
 
 use crate::fixture::{at, limits, ms, name, need, rates, record, revision};
@@ -130,23 +130,24 @@
 /// Requests the proof of `other` at `now`, and applies the answer to `core`.
 fn share_proof(core: &mut RelayCore, other: &RelayCore, now: Tick) -> PeerVerdict {
     let proof_age_ms = other.lease().age(now).map(|age| age.as_millis() as u32);
-    let ack = LoadNote::SubscriptionAck {
+    let ack = PeerMessage::SubscriptionAck {
         target: name("t"),
         entries: 2,
         pace_percent: 100,
         proof_age_ms,
         proof_from: Some(([10, 0, 1, 2], 7_000).into()),
         watchers: 0,
-        list_mark: None,
-        config_mark: None,
+        watched_revision: None,
+        confirmed_revision: None,
     };
     core.apply_message(ack, now);
-    let Some((_, LoadNote::QueryProof { nonce })) = core.request_proof(now) else {
+    let Some((_, PeerMessage::QueryProof { nonce })) = core.request_proof(now) else {
         panic!("no proof request");
     };
     let answer = other.answer_proof_request(nonce, now).expect("a proof");
-    assert!(answer.to_bytes().unwrap().len() <= MAX_NOTE);
-    let LoadNote::AnswerProof { nonce, revision, config_digest, proof_age_ms, evacuated } = answer
+    assert!(answer.to_bytes().unwrap().len() <= MAX_DATAGRAM_BYTES);
+    let PeerMessage::AnswerProof { nonce, revision, config_digest, proof_age_ms, evacuated } =
+        answer
     else {
         panic!("no proof");
     };
@@ -176,7 +177,11 @@
     reader.apply_config(Some(RelayConfig { version: 2, ..RelayConfig::default() }), at(2_000));
     reader.set_config_revision(revision(5));
     assert_eq!(share_proof(&mut receiver, &reader, at(2_500)), PeerVerdict::Behind);
-    assert_eq!(receiver.evacuated_domains().count(), 0, "it does not prove the configuration known here");
+    assert_eq!(
+        receiver.evacuated_domains().count(),
+        0,
+        "it does not prove the configuration known here"
+    );
     receiver.apply_copy(&reader.config_copy().unwrap(), at(2_520));
     assert_eq!(receiver.evacuated_domains().count(), 1);
 }
--- a/tests/relay/fixture.rs
+++ b/tests/relay/fixture.rs
@@ -14,9 +14,9 @@
 use shalelane::relay::decide::stream_load::{StreamKey, StreamLoad};
 use shalelane::relay::decide::targets::{TargetRecord, TargetSet};
 use shalelane::relay::decide::warmup::WarmupBound;
-use shalelane::relay::discovery::feed::ConfigNews;
 use shalelane::relay::discovery::freshness::StalePolicy;
 use shalelane::relay::discovery::rules::{RelayConfig, RepeatRule, RouteRule, WeightedService};
+use shalelane::relay::discovery::source::ConfigUpdate;
 use shalelane::relay::discovery::store_revision::StoreRevision;
 use shalelane::time::Tick;
 
@@ -83,8 +83,8 @@
 }
 
 /// An update of a configuration in which everything is readable.
-pub fn config_update(revision: StoreRevision, config: RelayConfig) -> ConfigNews {
-    ConfigNews { revision, config, unreadable: Vec::new() }
+pub fn config_update(revision: StoreRevision, config: RelayConfig) -> ConfigUpdate {
+    ConfigUpdate { revision, config, unreadable: Vec::new() }
 }
 
 pub fn record(name: &str, number: u8) -> TargetRecord {
--- a/tests/relay/instances.rs
+++ b/tests/relay/instances.rs
@@ -7,7 +7,7 @@
 use shalelane::relay::decide::targets::{TargetRecord, TargetSet};
 use shalelane::relay::discovery::freshness::StalePolicy;
 use shalelane::relay::discovery::rules::{RelayConfig, ServiceRule};
-use shalelane::relay::peers::engine_watch::{EngineExit, EngineWatch, ReportEnd};
+use shalelane::relay::peers::engine_health::{EngineExit, EngineHealth, PollResult};
 
 use crate::fixture::{at, limits, name, need, rates, record, revision};
 
@@ -31,7 +31,7 @@
     set.get_mut("a").unwrap().record_sent(at(1));
     let change = set.apply_change(started_at(200), at(10));
     assert_eq!(change.restarted, [name("a")]);
-    assert_eq!(change.crashed, [started_at(100).to_life()]);
+    assert_eq!(change.crashed, [started_at(100).to_instance()]);
     assert!(change.added.is_empty() && change.removed.is_empty());
     assert_eq!(
         set.get("a").unwrap().in_flight,
@@ -71,7 +71,7 @@
 #[test]
 fn a_restart_is_announced_to_other_entries() {
     let mut core = core_of(vec![started_at(100)]);
-    let list = shalelane::relay::discovery::feed::TargetList {
+    let list = shalelane::relay::discovery::source::TargetList {
         records: vec![started_at(200)],
         revision: revision(9),
         changed_at: revision(9),
@@ -99,9 +99,9 @@
 /// interruption was.
 #[test]
 fn an_agent_reports_a_new_instance() {
-    let mut watch = EngineWatch::default();
+    let mut watch = EngineHealth::default();
     watch.record_started(100);
-    watch.record_report(ReportEnd::Pace(100));
+    watch.record_report(PollResult::Pace(100));
     assert_eq!(watch.take_exit(), None);
     watch.record_started(200);
     for _ in 0..3 {
@@ -112,9 +112,9 @@
         );
     }
     assert_eq!(watch.take_exit(), None);
-    watch.record_report(ReportEnd::Refused);
+    watch.record_report(PollResult::Refused);
     assert_eq!(watch.take_exit(), None, "a single refusal may be due to too many connections");
-    watch.record_report(ReportEnd::Refused);
+    watch.record_report(PollResult::Refused);
     assert_eq!(watch.take_exit(), Some(EngineExit { next_ms: None }));
 }
 
--- a/tests/relay/main.rs
+++ b/tests/relay/main.rs
@@ -1,29 +1,29 @@
 //! Tests of the relay's decisions, without sockets.
 
 mod budget;
-mod config_news;
+mod config_updates;
 mod crashes;
 mod engine_subset;
 mod evacuations;
 mod events;
 mod fixture;
 mod instances;
-mod list_news;
-mod note_parts;
-mod notes;
+mod message_fragments;
 mod notices;
 mod pass_model;
+mod peer_messages;
+mod permits;
 mod placement;
 mod proofs;
 mod quarantine;
 mod rates;
 mod regions;
 mod restored_store;
-mod return_time;
+mod retry_delay;
 mod rules;
 mod start_wait;
 mod stop;
+mod target_list_updates;
 mod targets;
-mod turns;
 mod warmups;
-mod watch_pace;
+mod watch_timing;
--- a/tests/relay/note_parts.rs
+++ b/tests/relay/message_fragments.rs
@@ -1,29 +1,34 @@
 //! Fragments of messages that are longer than a datagram.
 
 use bytes::Bytes;
-use shalelane::relay::discovery::feed::TargetChange;
-use shalelane::relay::discovery::list_share::ListNews;
-use shalelane::relay::peers::load_note::{LoadNote, MAX_NOTE};
-use shalelane::relay::peers::note_parts::{FragmentBuffer, MessageFragment};
+use shalelane::relay::discovery::source::TargetChange;
+use shalelane::relay::discovery::target_list_sync::TargetListUpdate;
+use shalelane::relay::peers::message_fragments::{FragmentBuffer, MessageFragment};
+use shalelane::relay::peers::peer_message::{MAX_DATAGRAM_BYTES, PeerMessage};
 use shalelane::relay::peers::subscriber_set::SubscriberSet;
 
 use crate::fixture::{at, check, record, revision};
 
 /// The update for a release that replaces `count` engines between two answers of a watch.
-fn release(count: u16) -> LoadNote {
+fn release(count: u16) -> PeerMessage {
     let listed = |number: u16| TargetChange::Listed(record(&format!("i-0123456789{number}"), 1));
     let changes = (0..count).map(listed).collect();
-    LoadNote::TargetListChanged(ListNews { since: revision(1), revision: revision(2), age_ms: 0, changes })
+    PeerMessage::TargetListChanged(TargetListUpdate {
+        since: revision(1),
+        revision: revision(2),
+        age_ms: 0,
+        changes,
+    })
 }
 
-fn split(message: &LoadNote, id: u64) -> Vec<MessageFragment> {
+fn split(message: &PeerMessage, id: u64) -> Vec<MessageFragment> {
     MessageFragment::split(&Bytes::from(message.to_bytes().unwrap()), id).expect("fragments")
 }
 
-fn join(fragments: impl IntoIterator<Item = MessageFragment>) -> Vec<LoadNote> {
+fn join(fragments: impl IntoIterator<Item = MessageFragment>) -> Vec<PeerMessage> {
     let mut buffer = FragmentBuffer::default();
     let complete = fragments.into_iter().filter_map(|fragment| buffer.insert(fragment, at(0)));
-    complete.map(|bytes| LoadNote::from_bytes(&bytes).unwrap()).collect()
+    complete.map(|bytes| PeerMessage::from_bytes(&bytes).unwrap()).collect()
 }
 
 /// Guards against this failure: the changes of a release of 19 engines between two answers of a
@@ -35,8 +40,8 @@
         let fragments = split(&message, 7);
         assert!(fragments.len() > 1);
         for fragment in &fragments {
-            let bytes = LoadNote::Fragment(fragment.clone()).to_bytes().unwrap();
-            assert!(bytes.len() <= MAX_NOTE, "{} bytes", bytes.len());
+            let bytes = PeerMessage::Fragment(fragment.clone()).to_bytes().unwrap();
+            assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "{} bytes", bytes.len());
         }
         assert_eq!(join(fragments), [message]);
     }
@@ -107,11 +112,15 @@
     let address = |number: u8| ([10, 0, 0, number], 7_000).into();
     for number in 1..=3 {
         let entry = number.into();
-        let message =
-            LoadNote::Subscribe { entry, proof_age_ms: None, list_mark: None, config_mark: None };
+        let message = PeerMessage::Subscribe {
+            entry,
+            proof_age_ms: None,
+            watched_revision: None,
+            confirmed_revision: None,
+        };
         set.on_message(&message, address(number), 100, at(0));
     }
-    let fragment = LoadNote::Fragment(split(&release(40), 7).remove(0));
+    let fragment = PeerMessage::Fragment(split(&release(40), 7).remove(0));
     let mut out = set.on_message(&fragment, address(1), 100, at(1));
     out.sort_by_key(|out| out.to);
     assert_eq!(out.iter().map(|out| out.to).collect::<Vec<_>>(), [address(2), address(3)]);
--- a/tests/relay/notices.rs
+++ b/tests/relay/notices.rs
@@ -3,28 +3,28 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use shalelane::relay::core::{AttemptShare, RelayCore};
+use shalelane::relay::core::{PlacedAttempt, RelayCore};
 use shalelane::relay::decide::placement::{Placement, TargetScope};
-use shalelane::relay::decide::rate_limit::RateWord;
-use shalelane::relay::decide::return_time::until_usable;
-use shalelane::relay::decide::target_notice::{KeptNotice, NoticeMemory, TargetNotice};
-use shalelane::relay::decide::targets::{TargetFault, TargetLife, TargetRecord};
-use shalelane::relay::discovery::feed::TargetList;
+use shalelane::relay::decide::rate_limit::RateNotice;
+use shalelane::relay::decide::retry_delay::until_usable;
+use shalelane::relay::decide::target_notice::{NoticeCache, NoticeState, TargetNotice};
+use shalelane::relay::decide::targets::{TargetFault, TargetInstance, TargetRecord};
 use shalelane::relay::discovery::freshness::StalePolicy;
 use shalelane::relay::discovery::rules::{RelayConfig, ServiceRule};
+use shalelane::relay::discovery::source::TargetList;
 use shalelane::time::Tick;
 
 use crate::fixture::{at, limits, ms, name, need, rates, record, revision};
 
 const LEAVING: TargetNotice =
-    TargetNotice { is_leaving: true, backoff: None, rate: RateWord::Absent, warmup: None };
+    TargetNotice { is_leaving: true, backoff: None, rate: RateNotice::Absent, warmup: None };
 
 fn backoff(millis: u64) -> TargetNotice {
     TargetNotice { backoff: Some(ms(millis)), ..TargetNotice::default() }
 }
 
-fn instance(name: &str) -> TargetLife {
-    record(name, 1).to_life()
+fn instance(name: &str) -> TargetInstance {
+    record(name, 1).to_instance()
 }
 
 /// An entry that knows engines of one service.
@@ -51,7 +51,7 @@
     core.place("engines", Some(&need(tokens)), TargetScope::Untried(&[]), now)
 }
 
-fn begin(core: &mut RelayCore, now: Tick) -> AttemptShare {
+fn begin(core: &mut RelayCore, now: Tick) -> PlacedAttempt {
     let placement = place(core, 5_000, now).unwrap();
     core.begin_attempt(&placement, Some(&need(5_000)), now)
 }
@@ -108,7 +108,7 @@
     assert!(core.may_send(&share, at(10)));
     core.apply_notice(share.instance.as_ref().unwrap(), &backoff(3_000), at(20));
     assert!(!core.may_send(&share, at(30)));
-    let helped = AttemptShare { helpers: vec![share.target.clone()], ..begin(&mut core, at(30)) };
+    let helped = PlacedAttempt { helpers: vec![share.target.clone()], ..begin(&mut core, at(30)) };
     assert!(!core.may_send(&helped, at(30)), "a helper backs off");
 }
 
@@ -207,17 +207,17 @@
 #[test]
 fn the_notices_of_removed_targets_are_bounded() {
     const MAX: usize = 1_024;
-    let mut memory = NoticeMemory::default();
-    let leaving = KeptNotice { is_leaving: true, backoff_until: Tick::default() };
+    let mut memory = NoticeCache::default();
+    let leaving = NoticeState { is_leaving: true, backoff_until: Tick::default() };
     let nth = |number: usize| record(&format!("t{number}"), 1);
     for number in 0..2 * MAX {
         memory.insert(&nth(number), leaving, at(number as u64));
     }
     assert_eq!(memory.len(), MAX);
-    assert_eq!(memory.restore(&nth(0), at(3_000)), KeptNotice::default());
+    assert_eq!(memory.restore(&nth(0), at(3_000)), NoticeState::default());
     assert_eq!(memory.restore(&nth(2 * MAX - 1), at(3_000)), leaving);
-    assert_eq!(memory.restore(&nth(2 * MAX - 1), at(3_000)), KeptNotice::default(), "once");
+    assert_eq!(memory.restore(&nth(2 * MAX - 1), at(3_000)), NoticeState::default(), "once");
     let later = at(3_000) + Duration::from_secs(60);
-    assert_eq!(memory.restore(&nth(2 * MAX - 2), later), KeptNotice::default());
+    assert_eq!(memory.restore(&nth(2 * MAX - 2), later), NoticeState::default());
     assert!(memory.is_empty());
 }
--- a/tests/relay/pass_model.rs
+++ b/tests/relay/pass_model.rs
@@ -127,7 +127,8 @@
     model.advance(at(200));
     let delay_cost = shard_delay_cost(&model, &helper_load(200_040, 2), 200);
     assert!(delay_cost > first.value * 0.7, "the prompt is late by the shard: {delay_cost}");
-    let started_late = StreamLoad { first_event_us: 2_700_000, first_event_limit_us: 9_000_000, ..first };
+    let started_late =
+        StreamLoad { first_event_us: 2_700_000, first_event_limit_us: 9_000_000, ..first };
     let mut model = PassModel::new(rates(), OBSERVER);
     model.add(key(1), started_late, at(0));
     model.advance(at(200));
--- a/tests/relay/notes.rs
+++ b/tests/relay/peer_messages.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 
 use shalelane::relay::decide::stream_load::StreamKey;
-use shalelane::relay::peers::load_note::{LoadNote, MAX_NOTE};
-use shalelane::relay::peers::subscriber_set::{NoteOut, SubscriberSet};
+use shalelane::relay::peers::peer_message::{MAX_DATAGRAM_BYTES, PeerMessage};
+use shalelane::relay::peers::subscriber_set::{OutboundMessage, SubscriberSet};
 
 use crate::fixture::{at, check, name, short_load};
 
@@ -12,17 +12,17 @@
     ([10, 0, 1, number], 7000).into()
 }
 
-fn placed(entry: u64, number: u64) -> LoadNote {
+fn placed(entry: u64, number: u64) -> PeerMessage {
     let key = StreamKey { entry, number };
-    LoadNote::StreamPlaced { target: name("t"), key, load: short_load() }
+    PeerMessage::StreamPlaced { target: name("t"), key, load: short_load() }
 }
 
-fn subscribe(set: &mut SubscriberSet, number: u8, millis: u64) -> Vec<NoteOut> {
-    let message = LoadNote::Subscribe {
+fn subscribe(set: &mut SubscriberSet, number: u8, millis: u64) -> Vec<OutboundMessage> {
+    let message = PeerMessage::Subscribe {
         entry: u64::from(number),
         proof_age_ms: None,
-        list_mark: None,
-        config_mark: None,
+        watched_revision: None,
+        confirmed_revision: None,
     };
     set.on_message(&message, entry(number), 100, at(millis))
 }
@@ -33,9 +33,9 @@
     subscribe(&mut set, 1, 0);
     subscribe(&mut set, 2, 0);
     let out = set.on_message(&placed(1, 7), entry(1), 100, at(1));
-    assert_eq!(out, [NoteOut { to: entry(2), message: placed(1, 7) }]);
+    assert_eq!(out, [OutboundMessage { to: entry(2), message: placed(1, 7) }]);
     let out = subscribe(&mut set, 3, 2);
-    assert!(out.contains(&NoteOut { to: entry(3), message: placed(1, 7) }));
+    assert!(out.contains(&OutboundMessage { to: entry(3), message: placed(1, 7) }));
     assert_eq!(subscribe(&mut set, 3, 3).len(), 1, "streams are sent once");
 }
 
@@ -45,8 +45,8 @@
     subscribe(&mut set, 1, 0);
     set.on_message(&placed(1, 7), entry(1), 100, at(1));
     subscribe(&mut set, 2, 2_400);
-    let gone = LoadNote::EntryGone { target: name("t"), entry: 1 };
-    assert_eq!(set.expire(at(2_600)), [NoteOut { to: entry(2), message: gone }]);
+    let gone = PeerMessage::EntryGone { target: name("t"), entry: 1 };
+    assert_eq!(set.expire(at(2_600)), [OutboundMessage { to: entry(2), message: gone }]);
     assert!(!set.is_busy());
 }
 
@@ -56,28 +56,32 @@
     subscribe(&mut set, 1, 0);
     subscribe(&mut set, 2, 0);
     set.on_message(&placed(1, 7), entry(1), 100, at(1));
-    let message =
-        LoadNote::Subscribe { entry: 9, proof_age_ms: None, list_mark: None, config_mark: None };
+    let message = PeerMessage::Subscribe {
+        entry: 9,
+        proof_age_ms: None,
+        watched_revision: None,
+        confirmed_revision: None,
+    };
     let out = set.on_message(&message, entry(1), 100, at(10));
-    let gone = LoadNote::EntryGone { target: name("t"), entry: 1 };
-    assert!(out.contains(&NoteOut { to: entry(2), message: gone }));
+    let gone = PeerMessage::EntryGone { target: name("t"), entry: 1 };
+    assert!(out.contains(&OutboundMessage { to: entry(2), message: gone }));
 }
 
 #[test]
 fn a_message_fits_a_datagram() {
     let long = "i".repeat(64);
     let key = StreamKey { entry: u64::MAX, number: u64::MAX };
-    let message = LoadNote::StreamPlaced { target: name(&long), key, load: short_load() };
+    let message = PeerMessage::StreamPlaced { target: name(&long), key, load: short_load() };
     let bytes = message.to_bytes().unwrap();
-    assert!(bytes.len() < MAX_NOTE);
-    assert_eq!(LoadNote::from_bytes(&bytes).unwrap(), message);
+    assert!(bytes.len() < MAX_DATAGRAM_BYTES);
+    assert_eq!(PeerMessage::from_bytes(&bytes).unwrap(), message);
 }
 
 #[test]
 fn invalid_bytes_do_not_panic() {
     #[expect(clippy::needless_pass_by_value, reason = "what quickcheck gives")]
     fn property(bytes: Vec<u8>) -> bool {
-        let _ = LoadNote::from_bytes(&bytes);
+        let _ = PeerMessage::from_bytes(&bytes);
         true
     }
     check(property as fn(Vec<u8>) -> bool);
@@ -86,16 +90,16 @@
 #[test]
 fn an_acknowledgement_reports_the_newest_proof_of_the_others() {
     let mut set = SubscriberSet::default();
-    let proof = |entry, proof_age_ms| LoadNote::Subscribe {
+    let proof = |entry, proof_age_ms| PeerMessage::Subscribe {
         entry,
         proof_age_ms,
-        list_mark: None,
-        config_mark: None,
+        watched_revision: None,
+        confirmed_revision: None,
     };
     set.on_message(&proof(1, Some(300)), entry(1), 100, at(1_000));
     set.on_message(&proof(2, None), entry(2), 100, at(1_000));
     let out = set.on_message(&proof(3, Some(10)), entry(3), 100, at(1_200));
-    let LoadNote::SubscriptionAck { proof_age_ms, .. } = out[0].message else {
+    let PeerMessage::SubscriptionAck { proof_age_ms, .. } = out[0].message else {
         panic!("not an acknowledgement")
     };
     assert_eq!(proof_age_ms, Some(500));
--- a/tests/relay/placement.rs
+++ b/tests/relay/placement.rs
@@ -4,7 +4,7 @@
 
 use shalelane::relay::decide::group_search::place_prompt;
 use shalelane::relay::decide::placement::{
-    Placement, PlacementAction, PlacementQuery, PromptNeed, TargetScope, TurnPolicy, place_call,
+    PermitPolicy, Placement, PlacementAction, PlacementQuery, PromptNeed, TargetScope, place_call,
 };
 use shalelane::relay::decide::policy::RelayPolicy;
 use shalelane::relay::decide::service_scope::ServiceScope;
@@ -19,7 +19,7 @@
     service: ServiceScope::of("engines"),
     failure_domain: "here",
     scope: TargetScope::Untried(&[]),
-    permit: TurnPolicy::Immediate,
+    permit: PermitPolicy::Immediate,
     entry: 1,
     policy: &RelayPolicy::DEFAULT,
 };
@@ -136,7 +136,8 @@
 #[test]
 fn a_prompt_waits_while_this_saves_others_more_than_it_loses() {
     let need = need(210_000);
-    let placement = Placement { first_event: ms(500), delay_cost: 6.0, own_loss: 1.0, ..late_placement(1) };
+    let placement =
+        Placement { first_event: ms(500), delay_cost: 6.0, own_loss: 1.0, ..late_placement(1) };
     assert_eq!(action(&placement, &need), PlacementAction::Wait);
     assert_eq!(action(&Placement { delay_cost: 0.1, ..placement }, &need), PlacementAction::Send);
 }
@@ -147,7 +148,8 @@
 fn a_prompt_that_waited_is_refused_if_it_costs_others_more_than_its_value() {
     let need = PromptNeed { waited: ms(400), ..need(210_000) };
     let harm = need.value() * 1.2;
-    let placement = Placement { first_event: ms(1_900), delay_cost: harm, own_loss: 4.0, ..late_placement(1) };
+    let placement =
+        Placement { first_event: ms(1_900), delay_cost: harm, own_loss: 4.0, ..late_placement(1) };
     assert_eq!(action(&placement, &need), PlacementAction::Refuse);
 }
 
@@ -190,7 +192,8 @@
         let need = need(u64::from(prompt % 1_000_000) + 1);
         let Some(placement) = place(&set, &need) else { return true };
         let members: HashSet<_> = placement.helpers.iter().chain([&placement.target]).collect();
-        let reserved: u64 = placement.reservations.iter().map(|reservation| reservation.tokens).sum();
+        let reserved: u64 =
+            placement.reservations.iter().map(|reservation| reservation.tokens).sum();
         members.len() == placement.helpers.len() + 1
             && placement.helpers.len() <= RelayPolicy::DEFAULT.most_helpers
             && placement.reservations.len() <= placement.helpers.len()
@@ -318,8 +321,12 @@
 #[test]
 fn a_prompt_waits_no_longer_than_its_first_event_limit() {
     let arriving = need(400_000);
-    let placement =
-        Placement { own_loss: 30.0, delay_cost: 8.0, opportunity_cost: 0.0, ..place(&engines(6), &arriving).unwrap() };
+    let placement = Placement {
+        own_loss: 30.0,
+        delay_cost: 8.0,
+        opportunity_cost: 0.0,
+        ..place(&engines(6), &arriving).unwrap()
+    };
     let waiting = |waited| PromptNeed { waited: ms(waited), is_admitted: true, ..arriving };
     assert_eq!(action(&placement, &waiting(1_000)), PlacementAction::Wait);
     assert_eq!(action(&placement, &waiting(3_000)), PlacementAction::Send);
--- a/tests/relay/proofs.rs
+++ b/tests/relay/proofs.rs
@@ -5,10 +5,10 @@
 
 use shalelane::relay::core::RelayCore;
 use shalelane::relay::discovery::freshness::StalePolicy;
-use shalelane::relay::discovery::proof_share::{PeerProof, PeerVerdict, ProofShare};
+use shalelane::relay::discovery::proof_sync::{PeerProof, PeerVerdict, ProofSync};
 use shalelane::relay::discovery::rules::RelayConfig;
 use shalelane::relay::peers::config_copy::ConfigCopy;
-use shalelane::relay::peers::load_note::LoadNote;
+use shalelane::relay::peers::peer_message::PeerMessage;
 use shalelane::time::Tick;
 
 use crate::fixture::{at, check, limits, ms, name, revision};
@@ -30,15 +30,15 @@
 
 /// Reports to `core` that the peer proved its configuration `age` before `now`.
 fn report_peer(core: &mut RelayCore, age: u32, now: Tick) {
-    let message = LoadNote::SubscriptionAck {
+    let message = PeerMessage::SubscriptionAck {
         target: name("t"),
         entries: 2,
         pace_percent: 100,
         proof_age_ms: Some(age),
         proof_from: Some(peer()),
         watchers: 0,
-        list_mark: None,
-        config_mark: None,
+        watched_revision: None,
+        confirmed_revision: None,
     };
     core.apply_message(message, now);
 }
@@ -46,12 +46,12 @@
 fn send_query(core: &mut RelayCore, now: Tick) -> u64 {
     let (address, message) = core.request_proof(now).expect("a query");
     assert_eq!(address, peer());
-    let LoadNote::QueryProof { nonce } = message else { panic!("not a query: {message:?}") };
+    let PeerMessage::QueryProof { nonce } = message else { panic!("not a query: {message:?}") };
     nonce
 }
 
 fn answer(peer: &RelayCore, nonce: u64, now: Tick) -> Option<PeerProof> {
-    let LoadNote::AnswerProof { nonce, revision, config_digest, proof_age_ms, evacuated } =
+    let PeerMessage::AnswerProof { nonce, revision, config_digest, proof_age_ms, evacuated } =
         peer.answer_proof_request(nonce, now)?
     else {
         panic!("not an answer")
@@ -127,7 +127,7 @@
 /// A process that has just started can not represent a time before its start.
 #[test]
 fn a_proof_from_before_the_start_of_the_process_is_rejected() {
-    let mut sync = ProofShare::default();
+    let mut sync = ProofSync::default();
     sync.record_source(peer(), at(900));
     let nonce = 7;
     sync.next_query(nonce, at(0), at(950)).unwrap();
@@ -180,7 +180,7 @@
 fn a_store_that_does_not_answer_is_probed_by_a_few_entries() {
     let count_probes = |entries: usize| {
         let samples = (0..1_000).map(|jitter| f64::from(jitter) / 1_000.0);
-        samples.filter(|jitter| ProofShare::should_probe(entries, *jitter)).count()
+        samples.filter(|jitter| ProofSync::should_probe(entries, *jitter)).count()
     };
     assert_eq!(count_probes(1), 1_000, "a single entry always probes");
     assert_eq!(count_probes(16), 1_000);
@@ -228,7 +228,7 @@
     const STEP: u64 = 10;
     const SPAN: u64 = 60_000;
     let mut cores: Vec<_> = (0..ENTRIES).map(|number| entry(number, 5, at(0))).collect();
-    let age = |core: &RelayCore| ProofShare::refresh_age(core.lease().duration());
+    let age = |core: &RelayCore| ProofSync::refresh_age(core.lease().duration());
     let mut due: Vec<_> = cores.iter().map(|core| at(0) + age(core)).collect();
     let mut reads = 0;
     for now in (0..SPAN).step_by(STEP as usize).map(at) {
@@ -241,9 +241,10 @@
             let newest_age = newest.lease().age(now).unwrap();
             let proof = newest.answer_proof_request(0, now);
             report_peer(&mut cores[number], newest_age.as_millis() as u32, now);
-            if let Some((_, LoadNote::QueryProof { nonce })) = cores[number].request_proof(now)
-                && let Some(LoadNote::AnswerProof { revision, config_digest, proof_age_ms, .. }) =
-                    proof
+            if let Some((_, PeerMessage::QueryProof { nonce })) = cores[number].request_proof(now)
+                && let Some(PeerMessage::AnswerProof {
+                    revision, config_digest, proof_age_ms, ..
+                }) = proof
             {
                 let age = ms(proof_age_ms.into());
                 let proof =
--- a/tests/relay/quarantine.rs
+++ b/tests/relay/quarantine.rs
@@ -6,13 +6,13 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use shalelane::relay::core::RelayCore;
-use shalelane::relay::decide::hold_list::QuarantineRecord;
-use shalelane::relay::decide::quarantine::{QuarantineLedger, SuspectNews};
+use shalelane::relay::decide::quarantine::{QuarantineLedger, SuspectReport};
+use shalelane::relay::decide::quarantine_list::QuarantineRecord;
 use shalelane::relay::decide::request_digest::RequestDigest;
-use shalelane::relay::decide::targets::TargetLife;
+use shalelane::relay::decide::targets::TargetInstance;
 use shalelane::relay::discovery::freshness::StalePolicy;
 use shalelane::relay::discovery::rules::RelayConfig;
-use shalelane::relay::peers::load_note::{LoadNote, MAX_NOTE};
+use shalelane::relay::peers::peer_message::{MAX_DATAGRAM_BYTES, PeerMessage};
 use shalelane::relay::peers::subscriber_set::SubscriberSet;
 
 use crate::fixture::{at, check, config_update, limits, ms, name, record, revision};
@@ -29,8 +29,8 @@
     RequestDigest::of(Some("acme"), "h.example", "/x", body.as_bytes())
 }
 
-fn instance(number: u64) -> TargetLife {
-    TargetLife { incarnation: name("e"), started_ms: number }
+fn instance(number: u64) -> TargetInstance {
+    TargetInstance { incarnation: name("e"), started_ms: number }
 }
 
 /// A ledger that has recorded crashes of these instances under a request.
@@ -139,7 +139,7 @@
 fn reports_of_peers_lead_to_a_quarantine() {
     let mut reports = Vec::new();
     for number in 1..4 {
-        reports.push(SuspectNews { digest: digest("a"), instances: vec![instance(number)] });
+        reports.push(SuspectReport { digest: digest("a"), instances: vec![instance(number)] });
     }
     let mut ledger = QuarantineLedger::default();
     for (at_ms, report) in [(1, &reports[0]), (2, &reports[0]), (3, &reports[1])] {
@@ -159,15 +159,16 @@
 
 #[test]
 fn a_suspect_report_fits_into_a_datagram() {
-    let instances = (0..8).map(|number| TargetLife {
+    let instances = (0..8).map(|number| TargetInstance {
         incarnation: name("a-name-of-thirty-characters-or-so"),
         started_ms: 1_700_000_000_000 + number,
     });
-    let report = SuspectNews { digest: digest("a"), instances: instances.collect() };
-    for message in [LoadNote::RequestSuspected(report), LoadNote::RequestCleared(digest("a"))] {
+    let report = SuspectReport { digest: digest("a"), instances: instances.collect() };
+    for message in [PeerMessage::RequestSuspected(report), PeerMessage::RequestCleared(digest("a"))]
+    {
         let bytes = message.to_bytes().unwrap();
-        assert!(bytes.len() <= MAX_NOTE, "{} bytes", bytes.len());
-        assert_eq!(LoadNote::from_bytes(&bytes).unwrap(), message);
+        assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "{} bytes", bytes.len());
+        assert_eq!(PeerMessage::from_bytes(&bytes).unwrap(), message);
     }
 }
 
@@ -178,27 +179,31 @@
     let entries: Vec<SocketAddr> =
         (1..4).map(|number| ([10, 1, 0, number], 7_000).into()).collect();
     for (number, entry) in entries.iter().enumerate() {
-        let subscribe = LoadNote::Subscribe {
+        let subscribe = PeerMessage::Subscribe {
             entry: number as u64,
             proof_age_ms: None,
-            list_mark: None,
-            config_mark: None,
+            watched_revision: None,
+            confirmed_revision: None,
         };
         set.on_message(&subscribe, *entry, 100, at(0));
     }
     let report = |instances: &[u64]| {
         let crashed = instances.iter().map(|number| instance(*number)).collect();
-        LoadNote::RequestSuspected(SuspectNews { digest: digest("a"), instances: crashed })
+        PeerMessage::RequestSuspected(SuspectReport { digest: digest("a"), instances: crashed })
     };
     assert!(set.on_message(&report(&[1]), entries[0], 100, at(10)).is_empty());
     let out = set.on_message(&report(&[2]), entries[1], 100, at(20));
     assert_eq!(out.len(), entries.len(), "including the entries that reported");
     assert!(out.iter().all(|out| out.message == report(&[1, 2])));
-    let restarted =
-        LoadNote::Subscribe { entry: 9, proof_age_ms: None, list_mark: None, config_mark: None };
+    let restarted = PeerMessage::Subscribe {
+        entry: 9,
+        proof_age_ms: None,
+        watched_revision: None,
+        confirmed_revision: None,
+    };
     let out = set.on_message(&restarted, entries[2], 100, at(30));
     assert!(out.iter().any(|out| out.message == report(&[1, 2])), "an entry that restarted");
-    let out = set.on_message(&LoadNote::RequestCleared(digest("a")), entries[0], 100, at(40));
+    let out = set.on_message(&PeerMessage::RequestCleared(digest("a")), entries[0], 100, at(40));
     assert_eq!(out.len(), 2, "the other entries");
     assert!(set.on_message(&report(&[3]), entries[0], 100, at(50)).is_empty());
 }
--- a/tests/relay/rates.rs
+++ b/tests/relay/rates.rs
@@ -7,15 +7,15 @@
 use rand::{Rng, SeedableRng};
 use shalelane::relay::core::RelayCore;
 use shalelane::relay::core::permits::PermitVerdict;
-use shalelane::relay::decide::permit_desk::{PermitAsk, PermitDesk, PermitReply};
+use shalelane::relay::decide::permit_issuer::{PermitIssuer, PermitReply, PermitRequest};
 use shalelane::relay::decide::placement::TargetScope;
-use shalelane::relay::decide::rate_book::{RateBook, RateNews, RateTold};
-use shalelane::relay::decide::rate_limit::{RateLimit, RateWord};
-use shalelane::relay::decide::targets::TargetLife;
+use shalelane::relay::decide::rate_limit::{RateLimit, RateNotice};
+use shalelane::relay::decide::rate_table::{AnnouncedRates, RateTable, RateUpdate};
+use shalelane::relay::decide::targets::TargetInstance;
 use shalelane::relay::discovery::freshness::StalePolicy;
 use shalelane::relay::discovery::rules::{RelayConfig, ServiceRule};
-use shalelane::relay::peers::engine_watch::EngineWatch;
-use shalelane::relay::peers::load_note::LoadNote;
+use shalelane::relay::peers::engine_health::EngineHealth;
+use shalelane::relay::peers::peer_message::PeerMessage;
 use shalelane::relay::peers::subscriber_set::SubscriberSet;
 use shalelane::time::Tick;
 
@@ -25,8 +25,8 @@
     RateLimit::from_per_second(per_second).unwrap()
 }
 
-fn instance(name: &str) -> TargetLife {
-    record(name, 1).to_life()
+fn instance(name: &str) -> TargetInstance {
+    record(name, 1).to_instance()
 }
 
 /// An entry that knows engines of one service.
@@ -41,7 +41,7 @@
 }
 
 /// When one entry sends a request that it gets at `now`; `None` if it does not.
-fn try_send(core: &mut RelayCore, issuer: Option<&mut PermitDesk>, now: Tick) -> Option<Tick> {
+fn try_send(core: &mut RelayCore, issuer: Option<&mut PermitIssuer>, now: Tick) -> Option<Tick> {
     let need = need(5_000);
     let placement = core.place("engines", Some(&need), TargetScope::Untried(&[]), now)?;
     let Some(query) = core.permit_query(&placement, Duration::ZERO, now) else {
@@ -70,23 +70,23 @@
 /// Entries of one target, the agent that issues its permits and two others that announce its
 /// rate.
 struct RateWorld {
-    entries: Vec<(RelayCore, RateTold)>,
-    issuer: PermitDesk,
-    others: [PermitDesk; 2],
+    entries: Vec<(RelayCore, AnnouncedRates)>,
+    issuer: PermitIssuer,
+    others: [PermitIssuer; 2],
     sends: Vec<Tick>,
 }
 
 impl RateWorld {
     /// Creates an idle fleet, of which one entry has received the rate.
     fn start(entries: u64, per_second: f64) -> Self {
-        let cores = (0..entries).map(|entry| (core_of(entry, &["a"]), RateTold::default()));
+        let cores = (0..entries).map(|entry| (core_of(entry, &["a"]), AnnouncedRates::default()));
         let mut world = RateWorld {
             entries: cores.collect(),
-            issuer: PermitDesk::default(),
+            issuer: PermitIssuer::default(),
             others: Default::default(),
             sends: Vec::new(),
         };
-        let notice = RateWord::Limit(rate(per_second));
+        let notice = RateNotice::Limit(rate(per_second));
         world.entries[0].0.apply_rate(&instance("a"), notice, Some(at(0)), at(10));
         world.subscribe_all(at(20));
         world.subscribe_all(at(770));
@@ -113,7 +113,7 @@
     }
 
     fn restart(&mut self, entry: usize, incarnation: u64, now: Tick) {
-        self.entries[entry] = (core_of(incarnation, &["a"]), RateTold::default());
+        self.entries[entry] = (core_of(incarnation, &["a"]), AnnouncedRates::default());
         self.subscribe(entry, now);
     }
 
@@ -138,7 +138,7 @@
                 world.subscribe_all(now);
             }
             if step == 900 {
-                world.issuer = PermitDesk::default();
+                world.issuer = PermitIssuer::default();
             }
             let entry = random.random_range(0..world.entries.len());
             if step % 20 == 0 {
@@ -160,14 +160,14 @@
 /// Some entries may ask the second agent because the first does not answer them.
 #[test]
 fn entries_that_ask_two_agents_keep_one_and_a_half_times_the_rate() {
-    let (mut first, mut second) = (PermitDesk::default(), PermitDesk::default());
-    let update = RateNews { instance: instance("a"), rate: Some(rate(2.0)), age_ms: 0 };
+    let (mut first, mut second) = (PermitIssuer::default(), PermitIssuer::default());
+    let update = RateUpdate { instance: instance("a"), rate: Some(rate(2.0)), age_ms: 0 };
     let mut sends = Vec::new();
     for step in 0..4_000 {
         let now = at(step * 5);
         for (is_second, issuer) in [(false, &mut first), (true, &mut second)] {
             let request =
-                PermitAsk { rate: update.clone(), warmup: None, max_wait_ms: 0, is_second };
+                PermitRequest { rate: update.clone(), warmup: None, max_wait_ms: 0, is_second };
             if matches!(issuer.on_request(&request, now), PermitReply::Granted { .. }) {
                 sends.push(now);
             }
@@ -181,7 +181,7 @@
 #[test]
 fn an_expired_permit_is_not_used() {
     let mut core = core_of(1, &["a"]);
-    core.apply_rate(&instance("a"), RateWord::Limit(rate(2.0)), Some(at(0)), at(10));
+    core.apply_rate(&instance("a"), RateNotice::Limit(rate(2.0)), Some(at(0)), at(10));
     let need = need(5_000);
     let mut placement =
         core.place("engines", Some(&need), TargetScope::Untried(&[]), at(20)).unwrap();
@@ -206,14 +206,14 @@
     let need = need(5_000);
     let placement = core.place("engines", Some(&need), TargetScope::Untried(&[]), at(0)).unwrap();
     let share = core.begin_attempt(&placement, Some(&need), at(0));
-    core.apply_rate(&instance("a"), RateWord::Limit(rate(2.0)), Some(at(0)), at(10));
+    core.apply_rate(&instance("a"), RateNotice::Limit(rate(2.0)), Some(at(0)), at(10));
     assert!(!core.may_send(&share, at(20)));
 }
 
 #[test]
 fn a_rate_limited_target_is_no_helper_and_the_last_choice() {
     let mut core = core_of(1, &["a", "b", "c"]);
-    core.apply_rate(&instance("a"), RateWord::Limit(rate(2.0)), Some(at(0)), at(10));
+    core.apply_rate(&instance("a"), RateNotice::Limit(rate(2.0)), Some(at(0)), at(10));
     for prompt in [5_000, 40_000, 300_000] {
         let scope = TargetScope::Untried(&[]);
         let placement = core.place("engines", Some(&need(prompt)), scope, at(20)).unwrap();
@@ -225,7 +225,7 @@
 #[test]
 fn without_a_permit_callers_learn_when_one_may_be_available() {
     let mut core = core_of(1, &["a"]);
-    core.apply_rate(&instance("a"), RateWord::Limit(rate(0.5)), Some(at(0)), at(10));
+    core.apply_rate(&instance("a"), RateNotice::Limit(rate(0.5)), Some(at(0)), at(10));
     let need = need(5_000);
     let scope = TargetScope::Untried(&[]);
     let placement = core.place("engines", Some(&need), scope, at(20)).unwrap();
@@ -240,8 +240,8 @@
 #[test]
 fn a_second_agent_is_asked_and_without_its_answer_nothing_is_sent() {
     let mut core = core_of(1, &["a", "b"]);
-    core.apply_rate(&instance("a"), RateWord::Limit(rate(2.0)), Some(at(0)), at(10));
-    core.apply_rate(&instance("b"), RateWord::Limit(rate(2.0)), Some(at(0)), at(10));
+    core.apply_rate(&instance("a"), RateNotice::Limit(rate(2.0)), Some(at(0)), at(10));
+    core.apply_rate(&instance("b"), RateNotice::Limit(rate(2.0)), Some(at(0)), at(10));
     let need = need(5_000);
     let scope = TargetScope::Untried(&[]);
     let placement = core.place("engines", Some(&need), scope, at(20)).unwrap();
@@ -257,14 +257,14 @@
 
 // What answers state about rates.
 
-fn table_at(per_second: f64, now: Tick) -> RateBook {
-    let mut table = RateBook::default();
+fn table_at(per_second: f64, now: Tick) -> RateTable {
+    let mut table = RateTable::default();
     assert!(table.record_limit(&instance("a"), rate(per_second), now));
     table
 }
 
-fn update(per_second: Option<f64>, age_ms: u32) -> RateNews {
-    RateNews { instance: instance("a"), rate: per_second.map(rate), age_ms }
+fn update(per_second: Option<f64>, age_ms: u32) -> RateUpdate {
+    RateUpdate { instance: instance("a"), rate: per_second.map(rate), age_ms }
 }
 
 #[test]
@@ -295,28 +295,28 @@
 #[test]
 fn an_invalid_rate_does_not_end_a_known_one() {
     let mut core = core_of(1, &["a"]);
-    core.apply_rate(&instance("a"), RateWord::Limit(rate(2.0)), Some(at(0)), at(10));
-    core.apply_rate(&instance("a"), RateWord::Unreadable, Some(at(50)), at(60));
+    core.apply_rate(&instance("a"), RateNotice::Limit(rate(2.0)), Some(at(0)), at(10));
+    core.apply_rate(&instance("a"), RateNotice::Unreadable, Some(at(50)), at(60));
     assert!(core.targets.get("a").unwrap().rate.is_some());
-    core.apply_rate(&instance("a"), RateWord::Absent, None, at(70));
+    core.apply_rate(&instance("a"), RateNotice::Absent, None, at(70));
     assert!(
         core.targets.get("a").unwrap().rate.is_some(),
         "the answer may not be the target's own"
     );
-    core.apply_rate(&instance("a"), RateWord::Absent, Some(at(80)), at(90));
+    core.apply_rate(&instance("a"), RateNotice::Absent, Some(at(80)), at(90));
     assert!(core.targets.get("a").unwrap().rate.is_none());
 }
 
 #[test]
 fn a_rate_of_a_former_instance_does_not_bind_the_next_one() {
     let mut core = core_of(1, &["a"]);
-    core.apply_rate(&instance("a"), RateWord::Limit(rate(2.0)), Some(at(0)), at(10));
+    core.apply_rate(&instance("a"), RateNotice::Limit(rate(2.0)), Some(at(0)), at(10));
     let mut restarted = record("a", 1);
     restarted.started_ms = 7;
     core.apply_change(restarted, at(20));
     assert!(core.targets.get("a").unwrap().rate.is_none());
     // An answer of the former instance may still arrive.
-    core.apply_rate(&instance("a"), RateWord::Limit(rate(2.0)), Some(at(0)), at(30));
+    core.apply_rate(&instance("a"), RateNotice::Limit(rate(2.0)), Some(at(0)), at(30));
     assert!(core.targets.get("a").unwrap().rate.is_none());
 }
 
@@ -362,8 +362,8 @@
 #[test]
 fn a_change_is_announced_at_once_and_the_rest_from_time_to_time() {
     let mut table = table_at(2.0, at(0));
-    let mut announced = RateTold::default();
-    let mut updates = |table: &mut RateBook, count: u64| {
+    let mut announced = AnnouncedRates::default();
+    let mut updates = |table: &mut RateTable, count: u64| {
         (0..count).filter(|step| !table.to_updates(&mut announced, at(*step)).is_empty()).count()
     };
     assert_eq!(updates(&mut table, 24), 3 + 3);
@@ -373,11 +373,11 @@
 
 #[test]
 fn a_message_announces_a_few_targets_and_the_next_others() {
-    let mut table = RateBook::default();
+    let mut table = RateTable::default();
     for number in 0..10 {
         table.record_limit(&instance(&format!("t{number}")), rate(2.0), at(0));
     }
-    let mut announced = RateTold::default();
+    let mut announced = AnnouncedRates::default();
     let mut instances = std::collections::BTreeSet::new();
     for _ in 0..3 {
         let updates = table.to_updates(&mut announced, at(10));
@@ -399,7 +399,7 @@
 
 #[test]
 fn the_number_of_known_rates_is_bounded() {
-    let mut table = RateBook::default();
+    let mut table = RateTable::default();
     for number in 0..2_000 {
         table.record_limit(&instance(&format!("t{number}")), rate(2.0), at(number));
     }
@@ -411,7 +411,7 @@
 #[test]
 fn an_agent_polls_a_rate_limited_engine_less_often() {
     let polls = |is_rate_limited| {
-        let mut watch = EngineWatch::default();
+        let mut watch = EngineHealth::default();
         watch.set_rate_limited(is_rate_limited);
         (0..80).filter(|step| watch.is_due(true, at(step * 100))).count()
     };
@@ -422,13 +422,13 @@
 fn an_agent_knows_whether_its_own_engine_is_rate_limited() {
     let mut set = SubscriberSet::default();
     let from = ([10, 1, 0, 1], 7_000).into();
-    let mut receive = |message: &LoadNote| drop(set.on_message(message, from, 100, at(0)));
-    receive(&LoadNote::Rates(vec![update(Some(2.0), 0)]));
+    let mut receive = |message: &PeerMessage| drop(set.on_message(message, from, 100, at(0)));
+    receive(&PeerMessage::Rates(vec![update(Some(2.0), 0)]));
     let load = short_load();
-    receive(&LoadNote::StreamPlaced { target: name("b"), key: key(1), load });
+    receive(&PeerMessage::StreamPlaced { target: name("b"), key: key(1), load });
     assert!(!set.is_rate_limited(), "the rate is of another target");
-    let mut receive = |message: &LoadNote| drop(set.on_message(message, from, 100, at(0)));
-    receive(&LoadNote::StreamPlaced { target: name("a"), key: key(2), load });
+    let mut receive = |message: &PeerMessage| drop(set.on_message(message, from, 100, at(0)));
+    receive(&PeerMessage::StreamPlaced { target: name("a"), key: key(2), load });
     assert!(set.is_rate_limited());
 }
 
@@ -438,7 +438,7 @@
     let mut core = core_of(1, &["a", "b"]);
     let service = name("engines");
     assert!(core.could_retry(&service, None, &[name("b")], at(0)));
-    core.apply_rate(&instance("a"), RateWord::Limit(rate(2.0)), Some(at(0)), at(10));
+    core.apply_rate(&instance("a"), RateNotice::Limit(rate(2.0)), Some(at(0)), at(10));
     assert!(!core.could_retry(&service, None, &[name("b")], at(20)));
 }
 
@@ -446,13 +446,13 @@
 fn a_reply_that_a_target_is_not_limited_ends_the_rate_known_at_the_request() {
     for (stated_again, is_over) in [(None, true), (Some(at(150)), false)] {
         let mut core = core_of(1, &["a"]);
-        core.apply_rate(&instance("a"), RateWord::Limit(rate(2.0)), Some(at(0)), at(10));
+        core.apply_rate(&instance("a"), RateNotice::Limit(rate(2.0)), Some(at(0)), at(10));
         let need = need(5_000);
         let placement =
             core.place("engines", Some(&need), TargetScope::Untried(&[]), at(100)).unwrap();
         let query = core.permit_query(&placement, ms(0), at(100)).unwrap();
         if let Some(stated_at) = stated_again {
-            core.apply_rate(&instance("a"), RateWord::Limit(rate(1.0)), Some(at(0)), stated_at);
+            core.apply_rate(&instance("a"), RateNotice::Limit(rate(1.0)), Some(at(0)), stated_at);
         }
         let verdict = core.apply_permit(&query, Some(PermitReply::Open), at(160));
         assert!(matches!(verdict, PermitVerdict::SendWithin { .. }));
@@ -475,7 +475,7 @@
 #[test]
 fn a_retry_waits_for_a_permit_if_only_a_rate_limited_target_is_left() {
     let mut core = core_of(1, &["a", "b"]);
-    core.apply_rate(&instance("a"), RateWord::Limit(rate(2.0)), Some(at(0)), at(10));
+    core.apply_rate(&instance("a"), RateNotice::Limit(rate(2.0)), Some(at(0)), at(10));
     let (need, tried) = (need(5_000), [name("b")]);
     let scope = TargetScope::Untried(&tried);
     let placement = core.place("engines", Some(&need), scope, at(20)).unwrap();
--- a/tests/relay/restored_store.rs
+++ b/tests/relay/restored_store.rs
@@ -2,15 +2,17 @@
 //! comparison of revisions has to include the epoch of the store.
 
 use shalelane::relay::core::RelayCore;
-use shalelane::relay::decide::hold_list::QuarantineRecord;
+use shalelane::relay::decide::quarantine_list::QuarantineRecord;
 use shalelane::relay::decide::request_digest::RequestDigest;
 use shalelane::relay::decide::targets::{TargetRecord, TargetSet};
-use shalelane::relay::discovery::feed::{ConfigRead, TargetList};
 use shalelane::relay::discovery::freshness::StalePolicy;
-use shalelane::relay::discovery::list_share::{ListNews, ListShare, NewsVerdict};
-use shalelane::relay::discovery::proof_share::{PeerProof, PeerVerdict, ProofShare};
+use shalelane::relay::discovery::proof_sync::{PeerProof, PeerVerdict, ProofSync};
 use shalelane::relay::discovery::rules::RelayConfig;
+use shalelane::relay::discovery::source::{ConfigRead, TargetList};
 use shalelane::relay::discovery::store_revision::StoreRevision;
+use shalelane::relay::discovery::target_list_sync::{
+    TargetListSync, TargetListUpdate, UpdateVerdict,
+};
 use shalelane::relay::peers::config_copy::ConfigCopy;
 use shalelane::time::Tick;
 
@@ -42,7 +44,7 @@
 
 /// Verdict of an entry at revision `known` on a proof of revision `proven`.
 fn verdict(known: StoreRevision, proven: StoreRevision) -> PeerVerdict {
-    let mut sync = ProofShare::default();
+    let mut sync = ProofSync::default();
     sync.record_source(([10, 0, 0, 1], 80).into(), at(9_000));
     sync.next_query(7, at(1_000), at(9_500)).unwrap();
     let proof = PeerProof {
@@ -88,12 +90,12 @@
     assert_eq!((core.config_revision().epoch, core.config_revision().number), (2, 5));
 }
 
-fn update(since: StoreRevision, mark: StoreRevision) -> ListNews {
-    ListNews { since, revision: mark, age_ms: 0, changes: Vec::new() }
+fn update(since: StoreRevision, mark: StoreRevision) -> TargetListUpdate {
+    TargetListUpdate { since, revision: mark, age_ms: 0, changes: Vec::new() }
 }
 
-fn sync_at(revision: StoreRevision) -> ListShare {
-    let mut sync = ListShare::default();
+fn sync_at(revision: StoreRevision) -> TargetListSync {
+    let mut sync = TargetListSync::default();
     sync.record_list(revision, revision);
     sync
 }
@@ -108,11 +110,11 @@
 #[test]
 fn list_updates_apply_only_within_one_epoch() {
     let mut sync = sync_at(before(90));
-    assert_eq!(sync.apply_update(&update(after(50), after(60)), at(0)), NewsVerdict::Gap);
-    assert_eq!(sync.apply_update(&update(before(80), after(60)), at(0)), NewsVerdict::Gap);
+    assert_eq!(sync.apply_update(&update(after(50), after(60)), at(0)), UpdateVerdict::Gap);
+    assert_eq!(sync.apply_update(&update(before(80), after(60)), at(0)), UpdateVerdict::Gap);
     let mut sync = sync_at(after(60));
-    assert_eq!(sync.apply_update(&update(before(90), before(95)), at(0)), NewsVerdict::Known);
-    assert_eq!(sync.apply_update(&update(after(60), after(61)), at(0)), NewsVerdict::Next);
+    assert_eq!(sync.apply_update(&update(before(90), before(95)), at(0)), UpdateVerdict::Known);
+    assert_eq!(sync.apply_update(&update(after(60), after(61)), at(0)), UpdateVerdict::Next);
 }
 
 #[test]
--- a/tests/relay/return_time.rs
+++ b/tests/relay/retry_delay.rs
@@ -2,7 +2,7 @@
 
 use shalelane::relay::decide::group_search::place_prompt;
 use shalelane::relay::decide::placement::{Placement, PromptNeed};
-use shalelane::relay::decide::return_time::after_overload;
+use shalelane::relay::decide::retry_delay::after_overload;
 
 use crate::fixture::{at, check, engines, ms, need};
 use crate::placement::ANY_QUERY;
--- a/tests/relay/rules.rs
+++ b/tests/relay/rules.rs
@@ -3,7 +3,7 @@
 use shalelane::relay::core::{Refusal, RelayCore};
 use shalelane::relay::discovery::freshness::{FreshnessLease, StalePolicy};
 use shalelane::relay::discovery::rules::{AccountRule, RelayConfig, RouteRule, WeightedService};
-use shalelane::relay::peers::load_note::LoadNote;
+use shalelane::relay::peers::peer_message::PeerMessage;
 
 use crate::fixture::{at, check, config_update, limits, ms, name, revision, route};
 
@@ -34,17 +34,17 @@
 }
 
 /// An agent's report of the newest proof of another entry.
-fn acknowledgement(proof_age_ms: u32) -> LoadNote {
+fn acknowledgement(proof_age_ms: u32) -> PeerMessage {
     let proof_age_ms = Some(proof_age_ms);
-    LoadNote::SubscriptionAck {
+    PeerMessage::SubscriptionAck {
         target: name("t"),
         entries: 2,
         pace_percent: 100,
         proof_from: None,
         proof_age_ms,
         watchers: 0,
-        list_mark: None,
-        config_mark: None,
+        watched_revision: None,
+        confirmed_revision: None,
     }
 }
 
@@ -100,8 +100,14 @@
     assert!(core.admit("h", "/a/x", Some("k"), at(60_000)).is_ok());
     // The caller's key may have been added since, so this is no final answer.
     assert_eq!(core.admit("h", "/a/x", Some("q"), at(4_000)).unwrap_err(), Refusal::UnknownKey);
-    assert_eq!(core.admit("h", "/a/x", Some("q"), at(60_000)).unwrap_err(), Refusal::ConfigUnproven);
-    assert_eq!(core.admit("g", "/a/x", Some("k"), at(60_000)).unwrap_err(), Refusal::ConfigUnproven);
+    assert_eq!(
+        core.admit("h", "/a/x", Some("q"), at(60_000)).unwrap_err(),
+        Refusal::ConfigUnproven
+    );
+    assert_eq!(
+        core.admit("g", "/a/x", Some("k"), at(60_000)).unwrap_err(),
+        Refusal::ConfigUnproven
+    );
 }
 
 #[test]
@@ -118,7 +124,10 @@
     let mut core = core();
     core.apply_config(Some(config(1, &["k"])), at(0));
     assert!(core.admit("h", "/a/b/c", None, at(60_000)).is_ok());
-    assert_eq!(core.admit("h", "/a/x", Some("k"), at(60_000)).unwrap_err(), Refusal::ConfigUnproven);
+    assert_eq!(
+        core.admit("h", "/a/x", Some("k"), at(60_000)).unwrap_err(),
+        Refusal::ConfigUnproven
+    );
 }
 
 #[test]
--- a/tests/relay/list_news.rs
+++ b/tests/relay/target_list_updates.rs
@@ -3,27 +3,34 @@
 use shalelane::relay::core::RelayCore;
 use shalelane::relay::core::target_list::WatchedChanges;
 use shalelane::relay::decide::targets::TargetRecord;
-use shalelane::relay::discovery::feed::{TargetChange, TargetList};
 use shalelane::relay::discovery::freshness::StalePolicy;
-use shalelane::relay::discovery::list_share::{ListNews, ListShare, NewsVerdict};
-use shalelane::relay::peers::load_note::{LoadNote, MAX_NOTE};
+use shalelane::relay::discovery::source::{TargetChange, TargetList};
+use shalelane::relay::discovery::target_list_sync::{
+    TargetListSync, TargetListUpdate, UpdateVerdict,
+};
+use shalelane::relay::peers::peer_message::{MAX_DATAGRAM_BYTES, PeerMessage};
 use shalelane::time::Tick;
 
 use crate::fixture::{at, check, limits, name, record, revision};
 
-fn update(since: u64, until: u64) -> ListNews {
-    ListNews { since: revision(since), revision: revision(until), age_ms: 0, changes: Vec::new() }
+fn update(since: u64, until: u64) -> TargetListUpdate {
+    TargetListUpdate {
+        since: revision(since),
+        revision: revision(until),
+        age_ms: 0,
+        changes: Vec::new(),
+    }
 }
 
 /// The state of an entry that knows all changes up to revision `number`.
-fn sync_at(number: u64) -> ListShare {
-    let mut sync = ListShare::default();
+fn sync_at(number: u64) -> TargetListSync {
+    let mut sync = TargetListSync::default();
     sync.record_list(revision(number), revision(number));
     sync
 }
 
 /// The state of an entry that listens.
-fn listener_at(number: u64) -> ListShare {
+fn listener_at(number: u64) -> TargetListSync {
     let mut sync = sync_at(number);
     sync.record_agent_report(50, None, at(0));
     assert!(sync.decide_watching(1.0, 50, 0.0, at(1_000)));
@@ -63,13 +70,17 @@
     let update = update.unwrap();
     other_watcher.apply_list_update(&update, false, at(101));
     let repeated = vec![TargetChange::Removed(name("b"))];
-    let (_, repeated) = other_watcher.apply_watched(watched(repeated, 5, 9, at(90)), false, at(102));
+    let (_, repeated) =
+        other_watcher.apply_watched(watched(repeated, 5, 9, at(90)), false, at(102));
     assert_eq!(repeated, None, "the first watcher has announced it");
     let listed = vec![TargetChange::Listed(record("c", 3))];
     let (_, later) = other_watcher.apply_watched(watched(listed, 9, 12, at(190)), false, at(200));
     let later = later.expect("changes of its own watch");
     assert_eq!((later.since, later.revision), (revision(9), revision(12)));
-    assert!(other.apply_list_update(&later, false, at(201)).is_empty(), "it missed the first update");
+    assert!(
+        other.apply_list_update(&later, false, at(201)).is_empty(),
+        "it missed the first update"
+    );
     other.apply_list_update(&update, false, at(202));
     assert_eq!(other.apply_list_update(&later, false, at(203)).added, [name("c")]);
 }
@@ -91,7 +102,8 @@
     ];
     let (since, mark) = (revision(5), revision(11));
     let all = WatchedChanges { changes, since, revision: mark, known_at: at(90) };
-    let update = other_watcher.apply_watched(all, false, at(2_000)).1.expect("it has later changes");
+    let update =
+        other_watcher.apply_watched(all, false, at(2_000)).1.expect("it has later changes");
     assert_eq!((update.since, update.revision), (revision(8), revision(11)));
     let announced = [TargetChange::Removed(name("b")), TargetChange::Listed(record("c", 3))];
     assert_eq!(update.changes, announced);
@@ -107,10 +119,10 @@
     sync.record_caught_up(revision(40));
     assert!(!sync.is_behind(at(9_000)));
     assert_eq!((sync.changed_at(), sync.known_up_to()), (revision(10), revision(40)));
-    assert_eq!(sync.apply_update(&update(10, 12), at(9_000)), NewsVerdict::Known);
+    assert_eq!(sync.apply_update(&update(10, 12), at(9_000)), UpdateVerdict::Known);
     assert_eq!(
         sync.apply_update(&update(12, 41), at(9_000)),
-        NewsVerdict::Next,
+        UpdateVerdict::Next,
         "it continues from the known revision"
     );
 }
@@ -123,10 +135,10 @@
     let mut core = entry_with_two_targets();
     let removed = vec![TargetChange::Removed(name("b"))];
     core.apply_watched(watched(removed, 5, 9, at(90)), false, at(100));
-    assert_eq!(core.list_share().changed_at(), revision(9));
-    assert_eq!(core.list_share().announced(), revision(5));
+    assert_eq!(core.target_list_sync().changed_at(), revision(9));
+    assert_eq!(core.target_list_sync().announced(), revision(5));
     core.record_list_announced(revision(9));
-    assert_eq!(core.list_share().announced(), revision(9));
+    assert_eq!(core.target_list_sync().announced(), revision(9));
 }
 
 /// If entries start together and know nothing of one another, the number of watchers does not grow
@@ -135,7 +147,7 @@
 fn the_number_of_initial_watchers_does_not_grow_with_the_fleet() {
     let watching = |entries: usize, targets: usize| {
         let is_watching = |number: usize| {
-            let mut sync = ListShare::default();
+            let mut sync = TargetListSync::default();
             assert!(!sync.choose_initial_watchers(0, 0.0, at(0)), "nothing is listed yet");
             sync.choose_initial_watchers(targets, (number as f64 + 0.5) / entries as f64, at(300));
             sync.is_watching()
@@ -151,22 +163,26 @@
 #[test]
 fn updates_are_applied_in_order_and_once() {
     let mut sync = sync_at(10);
-    assert_eq!(sync.apply_update(&update(10, 12), at(0)), NewsVerdict::Next);
-    assert_eq!(sync.apply_update(&update(10, 12), at(0)), NewsVerdict::Known);
-    assert_eq!(sync.apply_update(&update(11, 14), at(0)), NewsVerdict::Next, "they overlap");
-    assert_eq!(sync.apply_update(&update(8, 13), at(0)), NewsVerdict::Known, "late update");
+    assert_eq!(sync.apply_update(&update(10, 12), at(0)), UpdateVerdict::Next);
+    assert_eq!(sync.apply_update(&update(10, 12), at(0)), UpdateVerdict::Known);
+    assert_eq!(sync.apply_update(&update(11, 14), at(0)), UpdateVerdict::Next, "they overlap");
+    assert_eq!(sync.apply_update(&update(8, 13), at(0)), UpdateVerdict::Known, "late update");
     assert_eq!(sync.changed_at(), revision(14));
 }
 
 #[test]
 fn missed_updates_cause_a_read_of_the_list() {
     let mut sync = listener_at(10);
-    assert_eq!(sync.apply_update(&update(12, 14), at(2_000)), NewsVerdict::Gap);
+    assert_eq!(sync.apply_update(&update(12, 14), at(2_000)), UpdateVerdict::Gap);
     assert!(!sync.is_behind(at(2_100)), "copies may arrive through other agents");
     assert!(sync.is_behind(at(2_200)));
     sync.record_list(revision(15), revision(9));
     assert!(!sync.is_behind(at(2_300)));
-    assert_eq!(sync.changed_at(), revision(14), "announced changes are in a list of a later revision");
+    assert_eq!(
+        sync.changed_at(),
+        revision(14),
+        "announced changes are in a list of a later revision"
+    );
 }
 
 #[test]
@@ -174,7 +190,7 @@
     let mut sync = listener_at(10);
     sync.record_agent_report(3, Some(revision(11)), at(2_000));
     assert!(sync.is_behind(at(2_200)));
-    assert_eq!(sync.apply_update(&update(10, 11), at(2_210)), NewsVerdict::Next);
+    assert_eq!(sync.apply_update(&update(10, 11), at(2_210)), UpdateVerdict::Next);
     assert!(!sync.is_behind(at(2_300)));
 }
 
@@ -204,7 +220,8 @@
     assert!(!sync.should_announce(0.0), "it does not know the number of watchers yet");
     sync.record_agent_report(99, None, at(0));
     sync.decide_watching(1.0, 100, 0.99, at(1_000));
-    let announced = (0..100).filter(|jitter| sync.should_announce(f64::from(*jitter) / 100.0)).count();
+    let announced =
+        (0..100).filter(|jitter| sync.should_announce(f64::from(*jitter) / 100.0)).count();
     assert_eq!(announced, 8);
 }
 
@@ -258,7 +275,11 @@
     assert_eq!(other.apply_list_update(&update.clone().unwrap(), false, at(102)), change);
     assert!(!other.targets.get("a").unwrap().is_usable(at(103)));
     assert!(other.targets.get("b").is_none());
-    assert_eq!(other.apply_list_update(&update.unwrap(), false, at(103)).removed, [], "a second copy");
+    assert_eq!(
+        other.apply_list_update(&update.unwrap(), false, at(103)).removed,
+        [],
+        "a second copy"
+    );
 }
 
 /// Guards against this failure: the store turns away two of five entries. One of them announces a
@@ -302,7 +323,7 @@
     let change = watcher.apply_list(vec![record("a", 1)], false, at(3_000));
     assert_eq!(change.removed, [name("b")]);
     let mut other = listener_at(5);
-    other.record_agent_report(7, Some(watcher.list_share().changed_at()), at(3_100));
+    other.record_agent_report(7, Some(watcher.target_list_sync().changed_at()), at(3_100));
     assert!(other.is_behind(at(3_300)), "it has to read the list as well");
 }
 
@@ -313,9 +334,9 @@
     watcher.record_list(revision(9), revision(5));
     let change = watcher.apply_list(vec![record("a", 1)], true, at(3_000));
     assert_eq!(change.removed, [], "it may come back");
-    assert_eq!(watcher.list_share().changed_at(), revision(5));
+    assert_eq!(watcher.target_list_sync().changed_at(), revision(5));
     assert_eq!(watcher.expire_targets(at(5_000)).removed, [name("b")]);
-    assert_eq!(watcher.list_share().changed_at(), revision(9));
+    assert_eq!(watcher.target_list_sync().changed_at(), revision(9));
 }
 
 /// Other entries need not read the list either, if one entry can announce what changed.
@@ -336,10 +357,14 @@
 fn an_update_of_ten_targets_fits_a_datagram() {
     let changes = (0..10)
         .map(|number| TargetChange::Listed(record(&format!("i-0123456789{number}"), number)));
-    let update =
-        ListNews { since: revision(1), revision: revision(2), age_ms: 0, changes: changes.collect() };
-    let message = LoadNote::TargetListChanged(update);
+    let update = TargetListUpdate {
+        since: revision(1),
+        revision: revision(2),
+        age_ms: 0,
+        changes: changes.collect(),
+    };
+    let message = PeerMessage::TargetListChanged(update);
     let bytes = message.to_bytes().unwrap();
-    assert!(bytes.len() <= MAX_NOTE, "{} bytes", bytes.len());
-    assert_eq!(LoadNote::from_bytes(&bytes).unwrap(), message);
+    assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "{} bytes", bytes.len());
+    assert_eq!(PeerMessage::from_bytes(&bytes).unwrap(), message);
 }
--- a/tests/relay/warmups.rs
+++ b/tests/relay/warmups.rs
@@ -7,17 +7,19 @@
 use rand::{Rng, SeedableRng};
 use shalelane::relay::core::permits::PermitVerdict;
 use shalelane::relay::core::{RelayCore, RelayLimits};
-use shalelane::relay::decide::permit_desk::{PermitAsk, PermitDesk, PermitReply, WarmupNews};
+use shalelane::relay::decide::permit_issuer::{
+    PermitIssuer, PermitReply, PermitRequest, WarmupUpdate,
+};
 use shalelane::relay::decide::placement::TargetScope;
-use shalelane::relay::decide::rate_book::RateNews;
-use shalelane::relay::decide::rate_limit::{RateLimit, RateWord};
+use shalelane::relay::decide::rate_limit::{RateLimit, RateNotice};
+use shalelane::relay::decide::rate_table::RateUpdate;
 use shalelane::relay::decide::target_notice::TargetNotice;
 use shalelane::relay::decide::targets::TargetRecord;
 use shalelane::relay::decide::warmup::{WarmupBound, WarmupRule};
-use shalelane::relay::discovery::feed::EvacuationList;
 use shalelane::relay::discovery::freshness::StalePolicy;
 use shalelane::relay::discovery::rules::{RelayConfig, ServiceRule};
-use shalelane::relay::peers::load_note::LoadNote;
+use shalelane::relay::discovery::source::EvacuationList;
+use shalelane::relay::peers::peer_message::PeerMessage;
 use shalelane::time::Tick;
 
 use crate::fixture::{at, limits, ms, name, need, rates, record};
@@ -71,7 +73,7 @@
 #[test]
 fn answers_state_whether_a_target_is_cold() {
     let mut core = core_of_one(1);
-    let instance = record("a", 1).to_life();
+    let instance = record("a", 1).to_instance();
     let cold = TargetNotice { warmup: Some(ms(700)), ..TargetNotice::default() };
     core.apply_notice(&instance, &cold, at(100));
     assert!(is_cold(&core, at(750)));
@@ -125,19 +127,25 @@
     let mut core = core_of_one(1);
     core.apply_change(listed(Some(2_000), 0), at(10));
     let stated = RateLimit::from_per_second(2.0);
-    core.apply_rate(&record("a", 1).to_life(), RateWord::Limit(stated.unwrap()), None, at(20));
+    core.apply_rate(
+        &record("a", 1).to_instance(),
+        RateNotice::Limit(stated.unwrap()),
+        None,
+        at(20),
+    );
     assert_eq!(core.targets.get("a").unwrap().rate, stated);
 }
 
 /// An agent that learned from one entry that a target is cold applies the limit to all entries.
 #[test]
 fn an_agent_limits_entries_that_do_not_know_that_the_target_is_cold() {
-    let mut issuer = PermitDesk::default();
-    let target = record("a", 1).to_life();
-    let update = RateNews { instance: target, rate: RateLimit::from_per_second(1_000.0), age_ms: 0 };
-    let warmup = WarmupNews { rate: RateLimit::from_per_second(2.0).unwrap(), left_ms: 3_000 };
+    let mut issuer = PermitIssuer::default();
+    let target = record("a", 1).to_instance();
+    let update =
+        RateUpdate { instance: target, rate: RateLimit::from_per_second(1_000.0), age_ms: 0 };
+    let warmup = WarmupUpdate { rate: RateLimit::from_per_second(2.0).unwrap(), left_ms: 3_000 };
     let request =
-        |warmup| PermitAsk { rate: update.clone(), warmup, max_wait_ms: 0, is_second: false };
+        |warmup| PermitRequest { rate: update.clone(), warmup, max_wait_ms: 0, is_second: false };
     issuer.on_request(&request(Some(warmup)), at(0));
     let mut granted = 0;
     for millis in 0..2_900 {
@@ -156,10 +164,10 @@
         core.place("engines", Some(&need(5_000)), TargetScope::Untried(&[]), at(20)).unwrap();
     let ask = core.permit_query(&placement, ms(0), at(20)).unwrap().request;
     assert_eq!(ask.warmup.unwrap().left_ms, 1_990);
-    let message = LoadNote::RequestPermit { nonce: 7, ask };
+    let message = PeerMessage::RequestPermit { nonce: 7, ask };
     let bytes = message.to_bytes().unwrap();
     assert!(bytes.len() <= 400, "{} bytes", bytes.len());
-    assert_eq!(LoadNote::from_bytes(&bytes).unwrap(), message);
+    assert_eq!(PeerMessage::from_bytes(&bytes).unwrap(), message);
 }
 
 fn max_in_a_second(sends: &[Tick]) -> usize {
@@ -180,7 +188,7 @@
     for entries in [5, 30, 103, 402] {
         let mut random = StdRng::seed_from_u64(SEED);
         let mut cores: Vec<_> = (0..entries).map(core_of_one).collect();
-        let (mut first, mut second) = (PermitDesk::default(), PermitDesk::default());
+        let (mut first, mut second) = (PermitIssuer::default(), PermitIssuer::default());
         let mut sends = Vec::new();
         for core in &mut cores {
             core.apply_change(listed(Some(3_000), 1), at(10));
@@ -188,10 +196,10 @@
         for millis in 20..3_000 {
             let now = at(millis);
             if millis == 1_200 {
-                first = PermitDesk::default();
+                first = PermitIssuer::default();
             }
             if millis == 1_500 {
-                second = PermitDesk::default();
+                second = PermitIssuer::default();
             }
             let entry = random.random_range(0..cores.len());
             let is_disconnected = entry % 3 == 0;
@@ -207,7 +215,8 @@
                 (true, _) => Some(&mut second),
             };
             let reply = issuer.map(|issuer| issuer.on_request(&query.request, now));
-            if let PermitVerdict::SendWithin { from, until } = core.apply_permit(&query, reply, now) {
+            if let PermitVerdict::SendWithin { from, until } = core.apply_permit(&query, reply, now)
+            {
                 let validity = until.since(from).as_millis() as u64;
                 sends.push(from + ms(random.random_range(0..=validity)));
             }
@@ -225,19 +234,23 @@
     for (per_second, overrun, slack) in [(32.0, 1.5, 5.0), (2.0, 1.2, 5.0), (400.0, 1.0, 0.0)] {
         let rule = WarmupRule { per_second, ..RULE };
         let rate = WarmupBound { overrun, slack }.to_rate(rule, ms(300));
-        let mut issuers = [PermitDesk::default(), PermitDesk::default()];
-        let instance = record("a", 1).to_life();
+        let mut issuers = [PermitIssuer::default(), PermitIssuer::default()];
+        let instance = record("a", 1).to_instance();
         let mut sends = Vec::new();
         let mut random = StdRng::seed_from_u64(7);
         for millis in 0..8_000 {
             for (issuer, is_second) in issuers.iter_mut().zip([false, true]) {
-                let update = RateNews { instance: instance.clone(), rate: None, age_ms: u32::MAX };
-                let warmup = Some(WarmupNews { rate, left_ms: 3_000 });
-                let request = PermitAsk { rate: update, warmup, max_wait_ms: 0, is_second };
+                let update =
+                    RateUpdate { instance: instance.clone(), rate: None, age_ms: u32::MAX };
+                let warmup = Some(WarmupUpdate { rate, left_ms: 3_000 });
+                let request = PermitRequest { rate: update, warmup, max_wait_ms: 0, is_second };
                 // An idle time comes first, so that each agent carries over an unused permit.
                 let is_idle = millis < 4_000 && millis > 10;
                 if !is_idle
-                    && matches!(issuer.on_request(&request, at(millis)), PermitReply::Granted { .. })
+                    && matches!(
+                        issuer.on_request(&request, at(millis)),
+                        PermitReply::Granted { .. }
+                    )
                 {
                     sends.push(at(millis) + ms(random.random_range(0..=300)));
                 }
