--- a/src/entry/quarantine.rs
+++ b/src/entry/quarantine.rs
@@ -9,7 +9,7 @@
 use super::core::EntryCore;
 use super::event::Arrival;
 use crate::relay::decide::request_digest::RequestDigest;
-use crate::relay::decide::targets::TargetLife;
+use crate::relay::decide::targets::TargetInstance;
 use crate::time::Tick;
 use crate::wire::Call;
 
@@ -20,7 +20,7 @@
             return None;
         }
         self.quarantine.decide(now);
-        self.quarantine.holds().held_for(&digest_of(arrival), now)
+        self.quarantine.quarantined().quarantine_left(&digest_of(arrival), now)
     }
 
     /// Returns true where an open request is to be given out no more.
@@ -30,7 +30,9 @@
         }
         self.quarantine.decide(now);
         let digest = self.requests.get(&number).map(|request| digest_of(&request.arrival));
-        digest.is_some_and(|digest| self.quarantine.holds().held_for(&digest, now).is_some())
+        digest.is_some_and(|digest| {
+            self.quarantine.quarantined().quarantine_left(&digest, now).is_some()
+        })
     }
 
     /// Notes that a request broke off at a target, which may have ended under it.
@@ -40,7 +42,7 @@
         let settled = request.first.map_or(Duration::ZERO, |first| now.since(first));
         let life = self.life_of(target);
         // Nobody else is told: entries do not speak with one another here.
-        let _ = self.quarantine.note_broken(digest, &life, settled, now);
+        let _ = self.quarantine.record_broken(digest, &life, settled, now);
     }
 
     /// Notes that a target answered a request, which does not end those that run it then.
@@ -50,22 +52,22 @@
         }
         let digest = self.requests.get(&number).map(|request| digest_of(&request.arrival));
         if let Some(digest) = digest {
-            self.quarantine.note_served(&digest);
+            self.quarantine.record_served(&digest);
         }
     }
 
     /// Notes an agent's word that its engine has ended.
     pub(super) fn on_target_lost(&mut self, target: &Arc<str>, now: Tick) {
         let life = self.life_of(target);
-        let _ = self.quarantine.note_ended(&life, now);
+        let _ = self.quarantine.record_crash(&life, now);
         *self.lives.entry(target.clone()).or_default() += 1;
         self.quarantine.decide(now);
     }
 
     /// The life that a target is in, by the ends that its agent has told of.
-    fn life_of(&self, target: &Arc<str>) -> TargetLife {
+    fn life_of(&self, target: &Arc<str>) -> TargetInstance {
         let ends = self.lives.get(target).copied().unwrap_or(0);
-        TargetLife { incarnation: target.clone(), born_ms: ends }
+        TargetInstance { incarnation: target.clone(), started_ms: ends }
     }
 }
 
--- a/src/relay/core/evacuation.rs
+++ b/src/relay/core/evacuation.rs
@@ -1,17 +1,18 @@
-//! What the core knows of failure domains that are out of service.
+//! Failure domains that are out of service.
 
 use std::sync::Arc;
 
 use super::RelayCore;
-use crate::relay::discovery::feed::EvacuationList;
+use crate::relay::discovery::source::EvacuationList;
 use crate::time::Tick;
 
 impl RelayCore {
-    /// Takes the failure domains that were out of service at `proven_at`. Returns true where
-    /// that changes anything. What is proven of the configuration then may be taken after it.
-    pub fn take_evacuations(&mut self, list: EvacuationList, proven_at: Tick, now: Tick) -> bool {
+    /// Applies the list of failure domains that were out of service at `proven_at`. Returns `true`
+    /// if that changes anything. What the same read proves of the
+    /// configuration may only be applied afterwards.
+    pub fn apply_evacuations(&mut self, list: EvacuationList, proven_at: Tick, now: Tick) -> bool {
         let EvacuationList { domains, epoch } = list;
-        if !self.evacuations.take(domains, epoch, proven_at, now) {
+        if !self.evacuations.apply(domains, epoch, proven_at, now) {
             return false;
         }
         self.targets.set_evacuated(self.evacuations.domains().clone(), now);
@@ -19,8 +20,8 @@
         true
     }
 
-    /// The failure domains that are out of service.
-    pub fn evacuated(&self) -> impl Iterator<Item = &Arc<str>> {
+    /// Returns the failure domains that are out of service.
+    pub fn evacuated_domains(&self) -> impl Iterator<Item = &Arc<str>> {
         self.evacuations.domains().iter()
     }
 }
--- a/src/relay/decide/rate_limit.rs
+++ b/src/relay/decide/rate_limit.rs
@@ -1,23 +1,23 @@
-//! How many requests a second a target takes from all entries together.
+//! Requests per second that a target accepts from all entries together.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// Longest time between two requests, however low the rate: only an answer tells that the
-/// rate has changed.
-const LONGEST_STEP: Duration = Duration::from_secs(10);
+/// Maximum interval between two requests, however low the rate: only an answer can announce
+/// that the rate has changed.
+const MAX_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Requests a second beyond which a rate bounds nothing.
-const HIGHEST: f64 = 1e6;
+/// Requests per second above which a rate is no bound in practice.
+const MAX_RATE: f64 = 1e6;
 
-/// Requests a second that a target takes from all entries together.
+/// Requests per second that a target accepts from all entries together.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct RateLimit(f64);
 
 impl RateLimit {
-    /// A rate, none where the number is no rate. What is too high to bound anything counts
-    /// as a million.
+    /// Creates a limit; `None` if the number is negative or not finite. Limits above a million
+    /// are reduced to a million.
     ///
     /// # Example
     ///
@@ -29,17 +29,17 @@
     /// ```
     #[must_use]
     pub fn from_per_second(number: f64) -> Option<Self> {
-        // A negative zero is a zero.
-        (number.is_finite() && number >= 0.0).then(|| RateLimit(number.abs().min(HIGHEST)))
+        // `abs` turns a negative zero into zero.
+        (number.is_finite() && number >= 0.0).then(|| RateLimit(number.abs().min(MAX_RATE)))
     }
 
-    /// Requests a second.
+    /// Returns the requests per second.
     #[must_use]
     pub fn per_second(self) -> f64 {
         self.0
     }
 
-    /// The lower of two rates, none where neither bounds anything.
+    /// Returns the lower of two limits; `None` if there is neither.
     #[must_use]
     pub fn lower(one: Option<Self>, other: Option<Self>) -> Option<Self> {
         match (one, other) {
@@ -48,58 +48,58 @@
         }
     }
 
-    /// Time between two requests.
+    /// Returns the interval between two requests.
     #[must_use]
-    pub fn to_step(self) -> Duration {
-        let step = Duration::try_from_secs_f64(self.0.recip());
-        step.map_or(LONGEST_STEP, |step| step.min(LONGEST_STEP))
+    pub fn to_interval(self) -> Duration {
+        let interval = Duration::try_from_secs_f64(self.0.recip());
+        interval.map_or(MAX_INTERVAL, |interval| interval.min(MAX_INTERVAL))
     }
 }
 
-/// What an answer says of the rate that its target takes.
+/// What an answer states about the rate limit of its target.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum RateWord {
-    /// Nothing: it names none.
+pub enum RateNotice {
+    /// The answer states no limit.
     #[default]
-    Silent,
-    /// Something that is no rate.
+    Absent,
+    /// The answer states a value that is not a valid limit.
     Unreadable,
-    /// It names a rate.
-    Named(RateLimit),
+    /// The answer states a limit.
+    Limit(RateLimit),
 }
 
-impl RateWord {
-    /// Reads the values of an answer; of several rates the lowest holds.
+impl RateNotice {
+    /// Parses the values of an answer; the lowest of several limits applies.
     ///
     /// # Example
     ///
     /// ```
-    /// use shalelane::relay::decide::rate_limit::RateWord;
+    /// use shalelane::relay::decide::rate_limit::RateNotice;
     ///
-    /// assert_eq!(RateWord::from_texts([]), RateWord::Silent);
-    /// assert_eq!(RateWord::from_texts(["soon"]), RateWord::Unreadable);
-    /// assert_eq!(RateWord::from_texts(["3", "2"]), RateWord::from_texts(["2.0"]));
+    /// assert_eq!(RateNotice::from_texts([]), RateNotice::Absent);
+    /// assert_eq!(RateNotice::from_texts(["soon"]), RateNotice::Unreadable);
+    /// assert_eq!(RateNotice::from_texts(["3", "2"]), RateNotice::from_texts(["2.0"]));
     /// ```
     pub fn from_texts<'a>(texts: impl IntoIterator<Item = &'a str>) -> Self {
-        let mut word = RateWord::Silent;
+        let mut notice = RateNotice::Absent;
         for text in texts {
             let rate = text.trim().parse().ok().and_then(RateLimit::from_per_second);
-            word = match (word, rate) {
-                (RateWord::Named(known), Some(rate)) if known <= rate => RateWord::Named(known),
-                (_, Some(rate)) => RateWord::Named(rate),
-                (RateWord::Named(known), None) => RateWord::Named(known),
-                (_, None) => RateWord::Unreadable,
+            notice = match (notice, rate) {
+                (RateNotice::Limit(known), Some(rate)) if known <= rate => RateNotice::Limit(known),
+                (_, Some(rate)) => RateNotice::Limit(rate),
+                (RateNotice::Limit(known), None) => RateNotice::Limit(known),
+                (_, None) => RateNotice::Unreadable,
             };
         }
-        word
+        notice
     }
 
-    /// The rate that it names, if any.
+    /// Returns the limit that the answer states; `None` if it states no valid one.
     #[must_use]
     pub fn rate(self) -> Option<RateLimit> {
         match self {
-            RateWord::Named(rate) => Some(rate),
-            RateWord::Silent | RateWord::Unreadable => None,
+            RateNotice::Limit(rate) => Some(rate),
+            RateNotice::Absent | RateNotice::Unreadable => None,
         }
     }
 }
--- a/src/relay/proxy/ledger.rs
+++ b/src/relay/proxy/ledger.rs
@@ -1,4 +1,4 @@
-//! What is logged and counted of a request when it ends.
+//! Log line and counters of a request, written when it ends.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -7,26 +7,26 @@
 
 use super::answer::RelayFault;
 use crate::relay::decide::request_digest::RequestDigest;
-use crate::relay::record::{RequestEnd, RequestLine, SeriesEnd, StreamPace};
+use crate::relay::record::{RequestEnd, RequestLine, RetryStop, StreamPace};
 use crate::relay::shared::{OpenRequest, RelayShared};
 use crate::time::Tick;
 use crate::verdict::Verdict;
 
-/// What is logged of a request when it ends, also where its caller leaves.
+/// Collects what is logged about a request. The line is also written if the caller leaves.
 pub(crate) struct RequestLedger {
     shared: Rc<RelayShared>,
     id: Arc<str>,
     arrived: Tick,
     targets: Vec<Arc<str>>,
     sends: usize,
-    /// Which request it is, where a send of it failed.
+    /// Digest of the request; set once an attempt has failed.
     pub(crate) digest: Option<RequestDigest>,
-    /// Why it was not sent again after a failure.
-    pub(crate) series_end: Option<SeriesEnd>,
+    /// Reason why the request was not sent again after a failure.
+    pub(crate) series_end: Option<RetryStop>,
     pub(crate) pace: StreamPace,
     is_ended: bool,
-    /// A planned stop waits for the end of the answer, not of its head.
-    _open: OpenRequest,
+    /// A planned stop waits until the whole answer is sent, rather than its head.
+    _open_request: OpenRequest,
 }
 
 impl RequestLedger {
@@ -41,34 +41,34 @@
             series_end: None,
             pace: StreamPace::default(),
             is_ended: false,
-            _open: OpenRequest::new(shared),
+            _open_request: OpenRequest::new(shared),
         }
     }
 
-    /// Notes a send to a target.
-    pub(crate) fn note_send(&mut self, target: &Arc<str>) {
+    /// Records that the request is sent to a target.
+    pub(crate) fn record_send(&mut self, target: &Arc<str>) {
         self.sends += 1;
         if !self.targets.contains(target) {
             self.targets.push(target.clone());
         }
     }
 
-    pub(crate) fn end(&mut self, end: RequestEnd, status: StatusCode, why: &str) {
+    pub(crate) fn end(&mut self, end: RequestEnd, status: StatusCode, message: &str) {
         self.is_ended = true;
         let shared = &self.shared;
         let now = shared.now();
-        shared.counts.borrow_mut().note_end(end);
+        shared.counts.borrow_mut().record_end(end);
         let core = shared.core.borrow();
         let line = RequestLine {
             id: &self.id,
-            end,
+            outcome: end,
             status: status.as_u16(),
-            why,
+            reason: message,
             targets: &self.targets.join(","),
             sends: self.sends,
             digest: self.digest,
-            series_end: self.series_end,
-            took: now.since(self.arrived),
+            retry_stop: self.series_end,
+            elapsed: now.since(self.arrived),
             pace: self.pace,
             version: core.rules().version(),
             proof_age: core.lease().age(now),
@@ -76,11 +76,11 @@
         shared.log.request_ended(&line, now);
     }
 
-    pub(crate) fn end_fault(&mut self, fault: &RelayFault) {
-        self.shared.counts.borrow().note_fault(fault.code);
+    pub(crate) fn end_with_fault(&mut self, fault: &RelayFault) {
+        self.shared.counts.borrow().record_fault(fault.code);
         let is_refused = fault.verdict == Verdict::NotRun;
         let end = if is_refused { RequestEnd::Refused } else { RequestEnd::Failed };
-        self.end(end, fault.status, &fault.why);
+        self.end(end, fault.status, &fault.message);
     }
 }
 
--- a/tests/relay/fixture.rs
+++ b/tests/relay/fixture.rs
@@ -1,4 +1,4 @@
-//! Targets and needs that the tests share.
+//! Fixtures shared by the tests.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -14,13 +14,13 @@
 use shalelane::relay::decide::stream_load::{StreamKey, StreamLoad};
 use shalelane::relay::decide::targets::{TargetRecord, TargetSet};
 use shalelane::relay::decide::warmup::WarmupBound;
-use shalelane::relay::discovery::feed::ConfigNews;
 use shalelane::relay::discovery::freshness::StalePolicy;
 use shalelane::relay::discovery::rules::{RelayConfig, RepeatRule, RouteRule, WeightedService};
+use shalelane::relay::discovery::source::ConfigUpdate;
 use shalelane::relay::discovery::store_revision::StoreRevision;
 use shalelane::time::Tick;
 
-/// The entry that looks on.
+/// Incarnation of the entry under test.
 pub const OBSERVER: u64 = 1;
 
 pub fn ms(ms: u64) -> Duration {
@@ -53,14 +53,14 @@
         step_tokens: 2_048,
         stride: 46,
         step_ms: 0.925,
-        per_writer_ms: 0.00483,
+        per_stream_ms: 0.00483,
         context_ms_per_k: 0.00254,
-        read_per_s: 256_000.0,
+        prefill_per_s: 256_000.0,
         pairs_ms_per_m: 0.0917,
     })
 }
 
-/// A revision of a store that never came back from a copy.
+/// A revision of a store that was never restored from a copy.
 pub fn revision(number: u64) -> StoreRevision {
     StoreRevision { epoch: 0, number }
 }
@@ -82,15 +82,15 @@
     }
 }
 
-/// News of a configuration whose notes can all be read.
-pub fn config_news(revision: StoreRevision, config: RelayConfig) -> ConfigNews {
-    ConfigNews { revision, config, unreadable: Vec::new() }
+/// An update of a configuration in which everything is readable.
+pub fn config_update(revision: StoreRevision, config: RelayConfig) -> ConfigUpdate {
+    ConfigUpdate { revision, config, unreadable: Vec::new() }
 }
 
 pub fn record(name: &str, number: u8) -> TargetRecord {
     TargetRecord {
         incarnation: name.into(),
-        born_ms: 0,
+        started_ms: 0,
         service: "engines".into(),
         address: ([10, 0, 0, number], 80).into(),
         failure_domain: "here".into(),
@@ -104,7 +104,7 @@
 pub fn engines(count: u8) -> TargetSet {
     let mut set = TargetSet::default();
     let records = (0..count).map(|number| record(&format!("e{number}"), number)).collect();
-    set.take_list(records, false, at(0));
+    set.apply_list(records, false, at(0));
     for target in set.iter_mut() {
         target.set_rates(&rates(), OBSERVER);
     }
@@ -117,28 +117,28 @@
 
 pub fn short_load() -> StreamLoad {
     StreamLoad {
-        read_us: 20_000,
+        prefill_us: 20_000,
         tokens: 5_000,
-        is_part: false,
+        is_shard: false,
         context: 5_800,
         memory: 6_600,
         passes: 35,
         waited_us: 0,
-        start_us: 0,
-        limit_us: 300_000,
-        pause_us: 200_000,
+        first_event_us: 0,
+        first_event_limit_us: 300_000,
+        longest_pause_us: 200_000,
         value: 1.5,
     }
 }
 
-/// What a prompt costs an engine that reads one of `parts` of it and writes.
-pub fn part_load(prompt: u64, parts: usize) -> StreamLoad {
-    need(prompt).to_load(rates().read_time(prompt), parts, 1, 20)
+/// Load on an engine that prefills one of `shards` shards of a prompt and decodes the answer.
+pub fn shard_load(prompt: u64, shards: usize) -> StreamLoad {
+    need(prompt).to_load(rates().prefill_time(prompt), shards, 1, 20)
 }
 
-/// What it costs an engine that only helps.
-pub fn helper_load(prompt: u64, parts: usize) -> StreamLoad {
-    need(prompt).to_helper_load(rates().read_time(prompt), parts)
+/// Load on an engine that only prefills a shard.
+pub fn helper_load(prompt: u64, shards: usize) -> StreamLoad {
+    need(prompt).to_helper_load(rates().prefill_time(prompt), shards)
 }
 
 pub fn need(prompt: u64) -> PromptNeed {
@@ -149,9 +149,9 @@
     };
     let (first_limit, longest_pause) = (ms(first), ms(pause));
     PromptNeed {
-        prompt,
-        answer: 800,
-        first_limit,
+        prompt_tokens: prompt,
+        answer_tokens: 800,
+        first_event_limit: first_limit,
         waited: ms(0),
         time_left: ms(10_000),
         longest_pause,
@@ -163,7 +163,7 @@
     text.into()
 }
 
-/// Checks a property on many inputs, the same at each run.
+/// Checks a property on many inputs, which are the same in each run.
 pub fn check<A: Testable>(property: A) {
     const SEED: u64 = 20_261_202;
     println!("seed {SEED}");
