--- a/src/agent/attempts.rs
+++ b/src/agent/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts at an agent: taking, refusing, resuming and ending them.
+//! Handling of attempts: accepting, refusing, resuming and ending them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,8 +15,8 @@
 use crate::verdict::Verdict;
 use crate::wire::{Call, Dispatch, Refusal, Resume, ToEntry};
 
-/// What an entry is told to wait before it asks again, at least.
-const MIN_RETRY: Duration = Duration::from_millis(50);
+/// Minimum delay before a retry that a refusal asks of the entry.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 impl AgentCore {
     pub(super) fn on_dispatch(
@@ -37,11 +37,11 @@
             self.replay(conn, &id, 0);
             return;
         }
-        if let Some((refusal, retry)) = self.refuse_dispatch(&id, &dispatch, now) {
-            self.refuse(conn, id.key, refusal, retry);
-            // A second copy of this dispatch must not run after this answer.
+        if let Some((refusal, retry_delay)) = self.refuse_dispatch(&id, &dispatch, now) {
+            self.refuse(conn, id.key, refusal, retry_delay);
+            // A duplicate of this dispatch must not run after the refusal.
             let until = now + Duration::from_micros(dispatch.remaining_us);
-            self.settle(id, not_run("refused"), until + self.tuning.ledger_margin);
+            self.store_outcome(id, not_run("refused"), until + self.tuning.ledger_margin);
             return;
         }
         let cached = self.cache.cached_tokens(&dispatch.marks, dispatch.need.prompt);
@@ -67,15 +67,15 @@
         if !backoff.is_zero() {
             return Some((Refusal::Busy, backoff));
         }
-        let waiting = self.runs.values().filter(|run| !run.is_at_target()).count();
-        if waiting >= self.tuning.max_queue {
-            return Some((Refusal::QueueFull, MIN_RETRY));
+        let queued = self.runs.values().filter(|run| !run.is_at_target()).count();
+        if queued >= self.tuning.max_queue {
+            return Some((Refusal::QueueFull, MIN_RETRY_DELAY));
         }
         if model.is_empty() {
             return None;
         }
         let needs_hold = !dispatch.shards.is_empty();
-        let has_hold = self.leases.is_held(id) && !self.unreserving.contains(id);
+        let has_hold = self.leases.is_held(id) && !self.releasing.contains(id);
         if needs_hold && !has_hold {
             return Some((Refusal::NoMemory, Duration::ZERO));
         }
@@ -87,7 +87,7 @@
         let prefill = self.rates.prefill(dispatch.need.prompt);
         let answer = self.rates.answer(dispatch.need.answer);
         if wait + prefill + answer > Duration::from_micros(dispatch.remaining_us) {
-            return Some((Refusal::TooLate, wait.max(MIN_RETRY)));
+            return Some((Refusal::TooLate, wait.max(MIN_RETRY_DELAY)));
         }
         let is_busy = wait > Duration::from_micros(dispatch.max_wait_us);
         is_busy.then_some((Refusal::Busy, wait))
@@ -98,10 +98,10 @@
         conn: ConnId,
         attempt: AttemptKey,
         refusal: Refusal,
-        retry: Duration,
+        retry_delay: Duration,
     ) {
         self.counts.refused += 1;
-        let retry_us = retry.as_micros() as u64;
+        let retry_us = retry_delay.as_micros() as u64;
         self.send(Some(conn), ToEntry::Refused { attempt, refusal, retry_us });
     }
 
@@ -115,7 +115,7 @@
         run.received += text.len() as u64;
         run.body.push(text);
         if run.received > run.dispatch.body_len {
-            self.give_up(id, "body longer than announced", now);
+            self.abort_queued(id, "body longer than announced", now);
         } else if run.received == run.dispatch.body_len {
             run.state = RunState::Queued;
         }
@@ -127,17 +127,17 @@
         }
         if self.runs.contains_key(id) {
             self.counts.cancelled += 1;
-            self.end_early(id, "cancelled by the caller", now);
+            self.abort(id, "cancelled by the caller", now);
         } else if self.ledger.get(id).is_none() {
-            // The dispatch may come yet: let it find this.
-            self.settle(id.clone(), not_run("cancelled"), now + self.tuning.ledger_margin);
+            // The dispatch may still arrive: this tombstone makes it refused.
+            self.store_outcome(id.clone(), not_run("cancelled"), now + self.tuning.ledger_margin);
         }
     }
 
     pub(super) fn on_resume(&mut self, conn: ConnId, id: &AttemptId, resume: Resume, now: Tick) {
         if resume.incarnation != self.id.incarnation {
-            let failed = may_have_run("the agent has restarted");
-            self.send_outcome(Some(conn), id.key, &failed, 0);
+            let outcome = may_have_run("the agent has restarted");
+            self.send_outcome(Some(conn), id.key, &outcome, 0);
             return;
         }
         if self.ledger.get(id).is_some() {
@@ -145,26 +145,26 @@
             return;
         }
         let Some(run) = self.runs.get_mut(id) else {
-            self.settle(id.clone(), not_run("given up"), now + self.tuning.ledger_margin);
+            self.store_outcome(id.clone(), not_run("given up"), now + self.tuning.ledger_margin);
             self.refuse(conn, id.key, Refusal::GivenUp, Duration::ZERO);
             return;
         };
         match run.state {
             RunState::Receiving => {
                 run.conn = Some(conn);
-                self.give_up(id, "the body did not arrive", now);
+                self.abort_queued(id, "the body did not arrive", now);
             }
             RunState::Cancelling => {
-                let failed = may_have_run("cancelled");
-                self.send_outcome(Some(conn), id.key, &failed, 0);
+                let outcome = may_have_run("cancelled");
+                self.send_outcome(Some(conn), id.key, &outcome, 0);
             }
             _ => {
                 run.conn = Some(conn);
-                run.orphaned = None;
+                run.disconnected_at = None;
                 let head = run.head.clone();
-                let rest = rest_of(&run.output, resume.offset);
+                let rest = output_from(&run.output, resume.offset);
                 self.send(Some(conn), ToEntry::Accepted(id.key));
-                self.send_rest(conn, id.key, head, resume.offset, rest);
+                self.send_output(conn, id.key, head, resume.offset, rest);
             }
         }
     }
@@ -186,8 +186,8 @@
         let Some(conn) = conn else { return };
         match outcome {
             Outcome::Done { head, output, completion } => {
-                let rest = rest_of(output, offset);
-                self.send_rest(conn, attempt, head.clone(), offset, rest);
+                let rest = output_from(output, offset);
+                self.send_output(conn, attempt, head.clone(), offset, rest);
                 self.send(Some(conn), ToEntry::Done(attempt, completion.clone()));
             }
             Outcome::Failed { verdict: Verdict::NotRun, .. } => {
@@ -200,7 +200,7 @@
         }
     }
 
-    pub(super) fn send_rest(
+    pub(super) fn send_output(
         &mut self,
         conn: ConnId,
         attempt: AttemptKey,
@@ -216,58 +216,71 @@
         }
     }
 
-    /// Ends an attempt wherever it stands, with the verdict that is true there.
-    pub(super) fn end_early(&mut self, id: &AttemptId, reason: &str, now: Tick) {
+    /// Ends an attempt in any state, with the verdict that holds for that state.
+    pub(super) fn abort(&mut self, id: &AttemptId, reason: &str, now: Tick) {
         let Some(run) = self.runs.get(id) else { return };
         if !run.is_at_target() {
-            self.give_up(id, reason, now);
+            self.abort_queued(id, reason, now);
         } else if run.state != RunState::Cancelling {
-            self.fail(id, Verdict::MayHaveRun, reason, now);
-            self.let_go(id);
+            self.report_failure(id, Verdict::MayHaveRun, reason, now);
+            self.cancel_at_target(id);
         }
     }
 
-    /// Ends an attempt that the target has not seen.
-    pub(super) fn give_up(&mut self, id: &AttemptId, reason: &str, now: Tick) {
+    /// Ends an attempt that has not been sent to the target.
+    pub(super) fn abort_queued(&mut self, id: &AttemptId, reason: &str, now: Tick) {
         let is_late = self.runs.get(id).is_some_and(|run| run.deadline <= now);
         let refusal = if is_late { Refusal::TooLate } else { Refusal::GivenUp };
-        self.give_up_as(id, refusal, reason, now);
+        self.abort_queued_as(id, refusal, reason, now);
     }
 
-    /// Ends an attempt that the target has not seen, for a stated cause.
-    pub(super) fn give_up_as(&mut self, id: &AttemptId, refusal: Refusal, reason: &str, now: Tick) {
+    /// Ends an attempt that has not been sent to the target, with the given refusal.
+    pub(super) fn abort_queued_as(
+        &mut self,
+        id: &AttemptId,
+        refusal: Refusal,
+        reason: &str,
+        now: Tick,
+    ) {
         let Some(run) = self.runs.remove(id) else {
             return;
         };
         let until = run.deadline.max(now) + self.tuning.ledger_margin;
-        self.settle(id.clone(), not_run(reason), until);
+        self.store_outcome(id.clone(), not_run(reason), until);
         if let Some(conn) = run.conn {
             self.refuse(conn, id.key, refusal, Duration::ZERO);
         }
     }
 
-    /// Tells of a failure. The run itself stays until the target let it go.
-    pub(super) fn fail(&mut self, id: &AttemptId, verdict: Verdict, reason: &str, now: Tick) {
+    /// Reports a failure to the entry and stores it. The run itself stays until the target
+    /// has released it.
+    pub(super) fn report_failure(
+        &mut self,
+        id: &AttemptId,
+        verdict: Verdict,
+        reason: &str,
+        now: Tick,
+    ) {
         let Some(run) = self.runs.get(id) else { return };
         let outcome = Outcome::Failed { verdict, reason: reason.into() };
         let (conn, until) = (run.conn, run.deadline.max(now) + self.tuning.ledger_margin);
         self.send_outcome(conn, id.key, &outcome, 0);
-        self.settle(id.clone(), outcome, until);
+        self.store_outcome(id.clone(), outcome, until);
         self.record(id, "failed", format!("{reason}, {verdict}"));
         self.counts.failed += 1;
     }
 
-    pub(super) fn let_go(&mut self, id: &AttemptId) {
+    pub(super) fn cancel_at_target(&mut self, id: &AttemptId) {
         let Some(run) = self.runs.get_mut(id) else {
             return;
         };
         run.state = RunState::Cancelling;
         run.conn = None;
         run.output = bytes::BytesMut::new();
-        self.out.push(Effect::Cancel(id.clone()));
+        self.effects.push(Effect::Cancel(id.clone()));
     }
 
-    pub(super) fn settle(&mut self, id: AttemptId, outcome: Outcome, until: Tick) {
+    pub(super) fn store_outcome(&mut self, id: AttemptId, outcome: Outcome, until: Tick) {
         let is_tombstone = matches!(outcome, Outcome::Failed { verdict: Verdict::NotRun, .. });
         let mutant = if is_tombstone { Mutant::TombstoneOff } else { Mutant::LedgerOff };
         if is_on(mutant) {
@@ -277,7 +290,7 @@
     }
 }
 
-pub(super) fn rest_of(output: &[u8], offset: u64) -> Bytes {
+pub(super) fn output_from(output: &[u8], offset: u64) -> Bytes {
     let start = (offset as usize).min(output.len());
     Bytes::copy_from_slice(&output[start..])
 }
--- a/src/agent/cache.rs
+++ b/src/agent/cache.rs
@@ -1,4 +1,4 @@
-//! What the engine's prefix cache holds, from events that come late and with gaps.
+//! Index of the engine's prefix cache, built from events that arrive late and with gaps.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -7,99 +7,100 @@
 use crate::id::AttemptId;
 use crate::prefix::{BLOCK_BYTES, PrefixMark, PrefixMarks};
 
-/// Bytes of text that a token is taken to stand for.
+/// Assumed bytes of text per token.
 const BYTES_PER_TOKEN: u64 = 4;
 
-/// Runs whose marks are remembered, to make sense of late events.
-const REMEMBERED_RUNS: usize = 512;
+/// Maximum number of runs whose prefix hashes are kept to interpret late events.
+const MAX_TRACKED_RUNS: usize = 512;
 
-/// Marks in the index at most.
-const MAX_MARKS: usize = 16_384;
+/// Maximum number of prefix hashes in the index.
+const MAX_HASHES: usize = 16_384;
 
-/// A change of the engine's prefix cache.
+/// A change of the engine's prefix cache, as the engine reports it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Counts the engine's events.
+    /// Sequence number of the event.
     pub sequence: u64,
-    /// The run whose prompt the entry came from.
+    /// Run whose prompt the cache entry came from.
     pub run: String,
-    /// Tokens of that prompt that are cached from now on, zero when evicted.
+    /// Tokens of that prompt that are cached from now on; zero after an eviction.
     pub tokens: u64,
 }
 
-/// Prefixes believed to be cached, by their marks.
+/// Prompt prefixes assumed to be cached, by their hashes.
 #[derive(Debug, Default)]
 pub struct PrefixIndex {
-    last: u64,
-    marks: HashMap<u64, u32>,
+    last_sequence: u64,
+    blocks_by_hash: HashMap<u64, u32>,
     runs: HashMap<String, PrefixMarks>,
-    order: VecDeque<String>,
+    run_order: VecDeque<String>,
     gaps: u64,
 }
 
 impl PrefixIndex {
-    /// Remembers the marks of a run that the engine was given.
-    pub fn note_run(&mut self, id: &AttemptId, marks: &PrefixMarks) {
-        if marks.0.is_empty() {
+    /// Stores the prefix hashes of a run that was started at the engine.
+    pub fn track_run(&mut self, id: &AttemptId, hashes: &PrefixMarks) {
+        if hashes.0.is_empty() {
             return;
         }
-        if self.order.len() == REMEMBERED_RUNS
-            && let Some(oldest) = self.order.pop_front()
+        if self.run_order.len() == MAX_TRACKED_RUNS
+            && let Some(oldest) = self.run_order.pop_front()
         {
-            self.forget_run(&oldest);
+            self.untrack_run(&oldest);
         }
         let name = id.to_string();
-        self.order.push_back(name.clone());
-        self.runs.insert(name, marks.clone());
+        self.run_order.push_back(name.clone());
+        self.runs.insert(name, hashes.clone());
     }
 
-    fn forget_run(&mut self, run: &str) {
-        let Some(marks) = self.runs.remove(run) else {
+    fn untrack_run(&mut self, run: &str) {
+        let Some(hashes) = self.runs.remove(run) else {
             return;
         };
-        for PrefixMark(_, hash) in marks.0 {
-            self.marks.remove(&hash);
+        for PrefixMark(_, hash) in hashes.0 {
+            self.blocks_by_hash.remove(&hash);
         }
     }
 
-    /// Takes an event. A gap empties the index: to believe in a prefix that
-    /// was evicted costs more than to miss one that is there.
+    /// Applies an event. A gap in the sequence empties the index: to assume a
+    /// prefix that was evicted costs more than to miss one that is cached.
     pub fn on_event(&mut self, event: &CacheEvent) {
-        if event.sequence <= self.last {
+        if event.sequence <= self.last_sequence {
             return;
         }
-        if event.sequence > self.last + 1 && self.last > 0 {
+        if event.sequence > self.last_sequence + 1 && self.last_sequence > 0 {
             self.gaps += 1;
-            self.marks.clear();
+            self.blocks_by_hash.clear();
         }
-        self.last = event.sequence;
-        let Some(marks) = self.runs.get(&event.run) else {
+        self.last_sequence = event.sequence;
+        let Some(hashes) = self.runs.get(&event.run) else {
             return;
         };
         let cached_blocks = event.tokens * BYTES_PER_TOKEN / BLOCK_BYTES as u64;
-        for PrefixMark(blocks, hash) in &marks.0 {
+        for PrefixMark(blocks, hash) in &hashes.0 {
             if u64::from(*blocks) > cached_blocks {
-                self.marks.remove(hash);
-            } else if self.marks.len() < MAX_MARKS {
-                self.marks.insert(*hash, *blocks);
+                self.blocks_by_hash.remove(hash);
+            } else if self.blocks_by_hash.len() < MAX_HASHES {
+                self.blocks_by_hash.insert(*hash, *blocks);
             }
         }
     }
 
-    /// Tokens of a prompt that are believed to be cached.
+    /// Returns the tokens of a prompt that are assumed to be cached.
     #[must_use]
-    pub fn cached_tokens(&self, marks: &PrefixMarks, prompt: u64) -> u64 {
-        let known = marks.0.iter().rev().find(|mark| self.marks.contains_key(&mark.1));
-        let blocks = known.map_or(0, |mark| u64::from(mark.0));
-        (blocks * BLOCK_BYTES as u64 / BYTES_PER_TOKEN).min(prompt)
+    pub fn cached_tokens(&self, hashes: &PrefixMarks, prompt_tokens: u64) -> u64 {
+        let known =
+            hashes.0.iter().rev().find(|prefix| self.blocks_by_hash.contains_key(&prefix.1));
+        let blocks = known.map_or(0, |prefix| u64::from(prefix.0));
+        (blocks * BLOCK_BYTES as u64 / BYTES_PER_TOKEN).min(prompt_tokens)
     }
 
-    /// Forgets everything, as after an engine's restart.
+    /// Empties the index, as needed after a restart of the engine.
     pub fn clear(&mut self) {
         *self = PrefixIndex { gaps: self.gaps, ..PrefixIndex::default() };
     }
 
-    /// How many gaps there were.
+    /// Returns the number of gaps in the event sequence.
     #[must_use]
     pub fn gaps(&self) -> u64 {
         self.gaps
--- a/src/agent/core.rs
+++ b/src/agent/core.rs
@@ -1,12 +1,12 @@
-//! The agent's decisions.
+//! The agent's core: connections, probes, timers and invariants.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use super::cache::PrefixIndex;
 use super::event::{AgentTuning, ConnId, Effect, EngineFacts, Event};
-use super::holds::HoldClaim;
-use super::lease::LeaseBook;
+use super::holds::PendingHold;
+use super::lease::LeaseTable;
 use super::ledger::OutcomeLedger;
 use super::predict::RatePredictor;
 use super::queue::FairShare;
@@ -19,21 +19,21 @@
 use crate::time::{Tick, TimerService};
 use crate::wire::{AccountAsk, Probe, ProbeAnswer, Refusal, ToAgent, ToEntry};
 
-/// Counts of an agent's life.
+/// Event counts since the agent started.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AgentCounts {
-    /// Runs given to the target.
+    /// Runs started at the target.
     pub started: u64,
-    /// Whole answers.
+    /// Runs that completed their answer.
     pub done: u64,
-    /// Runs that ended otherwise.
+    /// Runs that failed.
     pub failed: u64,
-    /// Attempts refused as not run.
+    /// Attempts refused without having run.
     pub refused: u64,
-    /// Runs ended because nobody wanted them any more.
+    /// Attempts cancelled by their entry, or because it did not reconnect in time.
     pub cancelled: u64,
-    /// Runs found at the engine that no attempt stood for.
-    pub strays: u64,
+    /// Runs and reservations found at the engine that belong to no known attempt.
+    pub orphans: u64,
     /// Probes answered.
     pub probes: u64,
 }
@@ -41,28 +41,28 @@
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
     Deadline(AttemptId),
-    Orphan(AttemptId),
+    Disconnect(AttemptId),
     Lease(AttemptId),
-    /// The target takes something again.
+    /// The back-off that the target asked for has ended.
     BackOff,
 }
 
-/// The deciding part of an agent.
+/// The decision logic of an agent, without I/O.
 #[derive(Debug)]
 pub struct AgentCore {
     pub(super) id: ProcessId,
     pub(super) tuning: AgentTuning,
     pub(super) facts: Option<EngineFacts>,
-    pub(super) no_facts: EngineFacts,
-    /// Until when the target wants nothing more.
+    pub(super) empty_facts: EngineFacts,
+    /// End of the back-off that the target asked for.
     pub(super) backoff_until: Tick,
     pub(super) peers: BTreeMap<ConnId, ProcessId>,
     pub(super) runs: BTreeMap<AttemptId, Run>,
     pub(super) ledger: OutcomeLedger,
-    pub(super) leases: LeaseBook,
-    pub(super) unreserving: BTreeSet<AttemptId>,
+    pub(super) leases: LeaseTable,
+    pub(super) releasing: BTreeSet<AttemptId>,
     pub(super) holders: BTreeMap<AttemptId, ConnId>,
-    pub(super) claims: Vec<HoldClaim>,
+    pub(super) pending_holds: Vec<PendingHold>,
     pub(super) share: FairShare,
     pub(super) cache: PrefixIndex,
     pub(super) rates: RatePredictor,
@@ -70,15 +70,15 @@
     pub(super) leaving: bool,
     pub(super) stopped: bool,
     pub(super) config_version: ConfigVersion,
-    /// What it gives of the limits of client accounts.
-    pub(super) gate: AccountGate<(ConnId, u64)>,
+    /// Quotas of client accounts that this agent grants.
+    pub(super) quota: AccountGate<(ConnId, u64)>,
     pub(super) invariant: InvariantCheck,
     pub(super) counts: AgentCounts,
-    pub(super) out: Vec<Effect>,
+    pub(super) effects: Vec<Effect>,
 }
 
 impl AgentCore {
-    /// Makes the core of an agent that knows nothing of its target yet.
+    /// Creates the core of an agent whose target has not reported yet.
     #[must_use]
     pub fn new(id: ProcessId, tuning: AgentTuning) -> Self {
         let invariant = InvariantCheck::new(tuning.strict);
@@ -86,15 +86,15 @@
             id,
             tuning,
             facts: None,
-            no_facts: EngineFacts::default(),
+            empty_facts: EngineFacts::default(),
             backoff_until: Tick::default(),
             peers: BTreeMap::new(),
             runs: BTreeMap::new(),
             ledger: OutcomeLedger::default(),
-            leases: LeaseBook::default(),
-            unreserving: BTreeSet::new(),
+            leases: LeaseTable::default(),
+            releasing: BTreeSet::new(),
             holders: BTreeMap::new(),
-            claims: Vec::new(),
+            pending_holds: Vec::new(),
             share: FairShare::default(),
             cache: PrefixIndex::default(),
             rates: RatePredictor::default(),
@@ -102,14 +102,14 @@
             leaving: false,
             stopped: false,
             config_version: ConfigVersion::default(),
-            gate: AccountGate::default(),
+            quota: AccountGate::default(),
             invariant,
             counts: AgentCounts::default(),
-            out: vec![Effect::Reset],
+            effects: vec![Effect::Reset],
         }
     }
 
-    /// Takes an event and returns what is to be done.
+    /// Processes an event and returns the effects to carry out.
     pub fn on_event(&mut self, now: Tick, event: Event) -> Vec<Effect> {
         match event {
             Event::PeerUp(conn, owner) => self.on_peer_up(conn, owner, now),
@@ -129,47 +129,47 @@
         self.schedule(now);
         self.check_stopped();
         self.check_invariants();
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.effects)
     }
 
-    /// The next time at which [`Event::Wake`] is wanted.
+    /// Returns the time at which the next [`Event::Wake`] is due.
     #[must_use]
     pub fn next_wake(&self) -> Option<Tick> {
         [self.timers.peek_next(), self.ledger.peek_next()].into_iter().flatten().min()
     }
 
-    /// Counts of this life.
+    /// Returns the event counts since the agent started.
     #[must_use]
     pub fn counts(&self) -> AgentCounts {
         self.counts
     }
 
-    /// Attempts that have not ended.
+    /// Returns the number of attempts that have not ended.
     #[must_use]
     pub fn open_runs(&self) -> usize {
         self.runs.len()
     }
 
-    /// Tokens under lease.
+    /// Returns the number of leased memory tokens.
     #[must_use]
     pub fn leased_tokens(&self) -> u64 {
         self.leases.capacity() - self.leases.free()
     }
 
-    /// How many invariants were broken.
+    /// Returns the number of broken invariants.
     #[must_use]
     pub fn broken_invariants(&self) -> u64 {
         self.invariant.broken()
     }
 
-    /// How many gaps the engine's cache events had.
+    /// Returns the number of gaps in the sequence of the engine's cache events.
     #[must_use]
     pub fn cache_gaps(&self) -> u64 {
         self.cache.gaps()
     }
 
     pub(super) fn facts(&self) -> &EngineFacts {
-        self.facts.as_ref().unwrap_or(&self.no_facts)
+        self.facts.as_ref().unwrap_or(&self.empty_facts)
     }
 
     pub(super) fn is_ready(&self) -> bool {
@@ -178,23 +178,23 @@
 
     pub(super) fn record(&mut self, id: &AttemptId, kind: &'static str, detail: String) {
         let request = RequestId { owner: id.owner.clone(), number: id.key.0 };
-        self.out.push(Effect::Record { request: request.to_string(), kind, detail });
+        self.effects.push(Effect::Record { request: request.to_string(), kind, detail });
     }
 
     pub(super) fn send(&mut self, conn: Option<ConnId>, message: ToEntry) {
         if let Some(conn) = conn {
-            self.out.push(Effect::Send(conn, message));
+            self.effects.push(Effect::Send(conn, message));
         }
     }
 
-    // Peers.
+    // Connections and messages.
 
     pub(super) fn on_peer_up(&mut self, conn: ConnId, owner: ProcessId, now: Tick) {
-        // A dispatch that is still under way on an older connection of the
-        // same entry must not count after the entry asked on a newer one.
-        let older: Vec<_> =
+        // A dispatch still in flight on an older connection of the same entry
+        // must not take effect after the entry has resumed it on a newer one.
+        let older_conns: Vec<_> =
             self.peers.iter().filter(|(_, peer)| **peer == owner).map(|(conn, _)| *conn).collect();
-        for conn in older {
+        for conn in older_conns {
             self.on_peer_gone(conn, now);
         }
         self.peers.insert(conn, owner);
@@ -207,53 +207,53 @@
         if self.peers.remove(&conn).is_none() {
             return;
         }
-        let lost: Vec<_> = self
+        let disconnected: Vec<_> = self
             .runs
             .iter()
             .filter(|(_, run)| run.conn == Some(conn))
             .map(|(id, _)| id.clone())
             .collect();
-        for id in lost {
-            self.on_run_orphaned(&id, now);
+        for id in disconnected {
+            self.on_run_disconnected(&id, now);
         }
         self.holders.retain(|_, holder| *holder != conn);
-        self.gate.retain(|(holder, _)| *holder != conn);
-        self.claims.retain(|claim| claim.conn != conn);
+        self.quota.retain(|(holder, _)| *holder != conn);
+        self.pending_holds.retain(|hold| hold.conn != conn);
     }
 
-    pub(super) fn on_run_orphaned(&mut self, id: &AttemptId, now: Tick) {
+    pub(super) fn on_run_disconnected(&mut self, id: &AttemptId, now: Tick) {
         let Some(run) = self.runs.get_mut(id) else {
             return;
         };
         run.conn = None;
         if run.state == RunState::Receiving {
-            self.give_up(id, "connection lost before the body was whole", now);
+            self.abort_queued(id, "connection lost before the body was complete", now);
             return;
         }
-        run.orphaned = Some(now);
-        self.timers.subscribe(now + self.tuning.orphan_grace, Timer::Orphan(id.clone()));
+        run.disconnected_at = Some(now);
+        self.timers.subscribe(now + self.tuning.disconnect_grace, Timer::Disconnect(id.clone()));
     }
 
     pub(super) fn on_message(&mut self, conn: ConnId, message: ToAgent, now: Tick) {
         let Some(owner) = self.peers.get(&conn).cloned() else {
             return;
         };
-        let named = |key: AttemptKey| AttemptId { owner: owner.clone(), key };
+        let to_id = |key: AttemptKey| AttemptId { owner: owner.clone(), key };
         match message {
             ToAgent::Probe(probe) => self.on_probe(conn, &probe, now),
             ToAgent::Dispatch(dispatch) => {
-                self.on_dispatch(conn, named(dispatch.attempt), dispatch, now);
+                self.on_dispatch(conn, to_id(dispatch.attempt), dispatch, now);
             }
-            ToAgent::Body(key, text) => self.on_body(&named(key), text, now),
-            ToAgent::Cancel(key) => self.on_cancel(&named(key), now),
-            ToAgent::Resume(resume) => self.on_resume(conn, &named(resume.attempt), resume, now),
-            ToAgent::Hold(hold) => self.on_hold(conn, named(hold.attempt), hold, now),
-            ToAgent::Release(key) => self.on_release(&named(key), now),
+            ToAgent::Body(key, text) => self.on_body(&to_id(key), text, now),
+            ToAgent::Cancel(key) => self.on_cancel(&to_id(key), now),
+            ToAgent::Resume(resume) => self.on_resume(conn, &to_id(resume.attempt), resume, now),
+            ToAgent::Hold(hold) => self.on_hold(conn, to_id(hold.attempt), hold, now),
+            ToAgent::Release(key) => self.on_release(&to_id(key), now),
             ToAgent::ConfigVersion(version) => {
                 self.config_version = self.config_version.max(version);
             }
-            ToAgent::AskAccount(ask) => self.on_ask_account(conn, &ask, now),
-            ToAgent::ReleaseAccount(number) => self.gate.release(&(conn, number)),
+            ToAgent::AskAccount(ask) => self.on_account_request(conn, &ask, now),
+            ToAgent::ReleaseAccount(number) => self.quota.release(&(conn, number)),
         }
     }
 
@@ -276,24 +276,24 @@
         self.send(Some(conn), ToEntry::ProbeAnswer(answer));
     }
 
-    fn on_ask_account(&mut self, conn: ConnId, ask: &AccountAsk, now: Tick) {
-        let AccountAsk { number, account, rest, is_held } = ask;
+    fn on_account_request(&mut self, conn: ConnId, request: &AccountAsk, now: Tick) {
+        let AccountAsk { number, account, rest, is_held } = request;
         let holder = (conn, *number);
         if *is_held {
-            return self.gate.note_held(account, holder, now);
+            return self.quota.note_held(account, holder, now);
         }
-        let wait = self.gate.ask(account, *rest, holder, now).err();
+        let wait = self.quota.ask(account, *rest, holder, now).err();
         let wait_us = wait.map(|wait| wait.as_micros() as u64);
         self.send(Some(conn), ToEntry::AccountAnswer { number: *number, wait_us });
     }
 
-    /// Time for which the target wants nothing more.
+    /// Remaining back-off that the target asked for.
     pub(super) fn backoff(&self, now: Tick) -> Duration {
         self.backoff_until.since(now)
     }
 
-    /// Why no new work for `model` is taken at all, if so. A plain service
-    /// goes by no model.
+    /// Returns the reason for which all new work for `model` is refused, if any.
+    /// `model` is empty for a plain service.
     pub(super) fn refuse_new(&self, model: &str) -> Option<Refusal> {
         if self.leaving && !is_on(Mutant::LeavingOff) {
             return Some(Refusal::Leaving);
@@ -305,27 +305,27 @@
         (!has_model).then_some(Refusal::NotReady)
     }
 
-    // Time and stops.
+    // Timers and shutdown.
 
     pub(super) fn expire(&mut self, now: Tick) {
         while let Some(timer) = self.timers.pop_due(now) {
             match timer {
-                Timer::Deadline(id) => self.end_early(&id, "time limit", now),
-                Timer::Orphan(id) => self.on_orphan_due(&id, now),
+                Timer::Deadline(id) => self.abort(&id, "time limit", now),
+                Timer::Disconnect(id) => self.on_disconnect_due(&id, now),
                 Timer::Lease(id) => self.on_lease_due(&id, now),
-                // What waits is looked at after each event.
+                // `schedule` runs after each event and reconsiders the queue.
                 Timer::BackOff => {}
             }
         }
         self.ledger.expire(now);
     }
 
-    pub(super) fn on_orphan_due(&mut self, id: &AttemptId, now: Tick) {
+    pub(super) fn on_disconnect_due(&mut self, id: &AttemptId, now: Tick) {
         let Some(run) = self.runs.get(id) else { return };
-        let is_due = run.orphaned.is_some_and(|at| at + self.tuning.orphan_grace <= now);
+        let is_due = run.disconnected_at.is_some_and(|at| at + self.tuning.disconnect_grace <= now);
         if is_due && !run.is_plain() && !is_on(Mutant::CancelOff) {
             self.counts.cancelled += 1;
-            self.end_early(id, "nobody waits for the answer", now);
+            self.abort(id, "nobody waits for the answer", now);
         }
     }
 
@@ -334,9 +334,9 @@
             return;
         }
         let is_lease_due = self.leases.get(id).is_some_and(|lease| lease.expires <= now);
-        let claim = self.claims.iter().find(|claim| claim.id == *id && claim.expires <= now);
-        let conn = claim.map(|claim| claim.conn).or_else(|| self.holders.get(id).copied());
-        if is_lease_due || claim.is_some() {
+        let hold = self.pending_holds.iter().find(|hold| hold.id == *id && hold.expires <= now);
+        let conn = hold.map(|hold| hold.conn).or_else(|| self.holders.get(id).copied());
+        if is_lease_due || hold.is_some() {
             self.send(conn, ToEntry::NotHeld(id.key));
             self.on_release(id, now);
         }
@@ -351,13 +351,13 @@
         for conn in conns {
             self.send(Some(conn), ToEntry::Leaving);
         }
-        for claim in std::mem::take(&mut self.claims) {
-            self.send(Some(claim.conn), ToEntry::NotHeld(claim.id.key));
+        for hold in std::mem::take(&mut self.pending_holds) {
+            self.send(Some(hold.conn), ToEntry::NotHeld(hold.id.key));
         }
         let queued = self.runs.iter().filter(|(_, run)| !run.is_at_target());
         let queued: Vec<_> = queued.map(|(id, _)| id.clone()).collect();
         for id in queued {
-            self.give_up(&id, "the target is leaving", now);
+            self.abort_queued(&id, "the target is leaving", now);
         }
     }
 
@@ -365,7 +365,7 @@
         let is_empty = self.runs.is_empty() && self.leases.is_empty();
         if self.leaving && is_empty && !self.stopped {
             self.stopped = true;
-            self.out.push(Effect::Stopped);
+            self.effects.push(Effect::Stopped);
         }
     }
 
@@ -374,7 +374,7 @@
             return;
         }
         let is_balanced = self.leases.is_balanced();
-        self.invariant.expect(is_balanced, "the leases add up to the memory in use");
+        self.invariant.expect(is_balanced, "the leases sum up to the memory in use");
         let mut unleased = self.runs.iter().filter(|(id, run)| {
             run.is_at_target() && !run.is_plain() && self.leases.get(id).is_none()
         });
@@ -382,6 +382,6 @@
         self.invariant.expect(all_leased, "every run at the engine has a lease");
         let mut stale = self.leases.runs().filter(|id| !self.runs.contains_key(*id));
         let all_run = stale.next().is_none();
-        self.invariant.expect(all_run, "every lease of a run belongs to one");
+        self.invariant.expect(all_run, "every run lease belongs to an open run");
     }
 }
--- a/src/agent/daemon.rs
+++ b/src/agent/daemon.rs
@@ -1,4 +1,4 @@
-//! The agent's daemon: sockets and timers round the core.
+//! The agent's daemon: sockets and timers around the core.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -15,7 +15,7 @@
 use super::core::AgentCore;
 use super::engine::EngineClient;
 use super::event::{AgentTuning, ConnId, Effect, EngineFacts, Event, RunEvent, StartRun};
-use super::page::{self, AgentPage};
+use super::metrics::{self, AgentMetrics};
 use super::plain::PlainClient;
 use crate::clock::{ProcessClock, new_incarnation, sleep_until, wall_micros};
 use crate::config::ServiceKind;
@@ -30,25 +30,25 @@
 use crate::web::accept_next;
 use crate::wire::{Framed, ToAgent};
 
-/// Events kept for the time line.
+/// Maximum number of events kept in the timeline.
 const TIMELINE_CAPACITY: usize = 4_096;
 
-/// Time from one reading of the engine's load to the next.
-const LOAD_STEP: Duration = Duration::from_millis(250);
+/// Interval between polls of the engine's load report.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Readings of the load from one look at the engine's runs to the next.
-const LOADS_PER_LOOK: u32 = 8;
+/// Polls of the load report between two checks of the engine's runs and reservations.
+const POLLS_PER_HOLDINGS_CHECK: u32 = 8;
 
-/// Failed readings in a row after which the target counts as lost.
-const LOST_AFTER: u32 = 3;
+/// Consecutive failed polls after which the target counts as lost.
+const MAX_FAILED_POLLS: u32 = 3;
 
-/// Wait before a call that ends or frees something is tried again.
-const AGAIN_STEP: Duration = Duration::from_millis(200);
+/// Delay before the retry of a call that cancels a run or releases a reservation.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// How long the last messages may take to leave.
-const FLUSH_LIMIT: Duration = Duration::from_secs(3);
+/// Time-out for sending the last queued messages at shutdown.
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What the agent's tasks share. All of them run on one thread.
+/// State shared by the agent's tasks, which all run on one thread.
 pub(super) struct AgentShared {
     pub(super) settings: AgentSettings,
     pub(super) identity: PeerIdentity,
@@ -60,17 +60,17 @@
     pub(super) plain: PlainClient,
     pub(super) timeline: RefCell<TimeLine>,
     pub(super) log: Logger,
-    pub(super) page: AgentPage,
+    pub(super) metrics: AgentMetrics,
 }
 
 impl AgentShared {
     fn send(&self, event: Event) {
-        // The loop outlives every task that sends to it.
+        // The event loop outlives every task that sends to it.
         let _ = self.events.send(event);
     }
 }
 
-/// An agent whose socket is open.
+/// An agent whose sockets are open.
 pub struct AgentDaemon {
     settings: AgentSettings,
     listener: TcpListener,
@@ -78,32 +78,33 @@
 }
 
 impl AgentDaemon {
-    /// Opens the socket.
+    /// Binds the listening sockets.
     ///
     /// # Errors
     ///
-    /// An address that can not be listened on.
+    /// Returns an error if an address cannot be bound.
     pub async fn bind(settings: AgentSettings) -> Result<Self> {
         let listener = TcpListener::bind(settings.listen).await?;
         let metrics = TcpListener::bind(settings.metrics_listen).await?;
         Ok(AgentDaemon { settings, listener, metrics })
     }
 
-    /// The address for entries, and that for metrics.
+    /// Returns the address for entries and the address for metrics.
     ///
     /// # Errors
     ///
-    /// The operating system does not tell.
+    /// Returns an error if the operating system does not report an address.
     pub fn addresses(&self) -> Result<(SocketAddr, SocketAddr)> {
         Ok((self.listener.local_addr()?, self.metrics.local_addr()?))
     }
 
-    /// Serves until `stop`, then stops as planned. Returns the longest turn
-    /// of the loop.
+    /// Serves until `stop` completes, then drains. Returns the duration of the
+    /// longest loop iteration.
     ///
     /// # Errors
     ///
-    /// None at present: faults of entries and of the target are lived with.
+    /// Never returns an error at present: failures of entries and of the target do not stop
+    /// the agent.
     pub async fn run(self, stop: impl Future<Output = ()>) -> Result<Duration> {
         LocalSet::new().run_until(self.run_local(stop)).await
     }
@@ -123,23 +124,23 @@
             engine: EngineClient::new(settings.target.clone()),
             plain: PlainClient::new(settings.target.clone()),
             timeline: RefCell::new(TimeLine::new(process.clone(), TIMELINE_CAPACITY)),
-            page: AgentPage::new(),
+            metrics: AgentMetrics::new(),
             log,
             settings,
         });
         let acceptor = spawn_local(accept_all(shared.clone(), self.listener));
-        let pages = spawn_local(page::serve(shared.clone(), self.metrics));
+        let metrics_server = spawn_local(metrics::serve(shared.clone(), self.metrics));
         let mut agent_loop = AgentLoop::new(shared.clone(), process);
         agent_loop.run(received, stop).await;
         acceptor.abort();
-        pages.abort();
+        metrics_server.abort();
         flush_links(&shared).await;
         info!(shared.log, "agent stopped");
         Ok(agent_loop.meter.longest())
     }
 }
 
-/// A call to the target that has not ended.
+/// A call to the target that has not completed.
 struct TargetCall {
     task: AbortHandle,
     has_arrived: Rc<Cell<bool>>,
@@ -177,34 +178,34 @@
         stop: impl Future<Output = ()>,
     ) {
         let mut stop = std::pin::pin!(stop);
-        let mut force = Tick::NEVER;
-        self.turn(Event::Wake);
-        while !self.stopped && self.clock.now() < force {
-            let wake = self.core.next_wake().unwrap_or(Tick::NEVER).min(force);
+        let mut force_stop_at = Tick::NEVER;
+        self.step(Event::Wake);
+        while !self.stopped && self.clock.now() < force_stop_at {
+            let wake = self.core.next_wake().unwrap_or(Tick::NEVER).min(force_stop_at);
             let sleep = sleep_until(&self.clock, wake);
             tokio::select! {
                 event = events.recv() => match event {
-                    Some(event) => self.turn(event),
+                    Some(event) => self.step(event),
                     None => return,
                 },
-                () = sleep => self.turn(Event::Wake),
-                () = &mut stop, if force == Tick::NEVER => {
+                () = sleep => self.step(Event::Wake),
+                () = &mut stop, if force_stop_at == Tick::NEVER => {
                     info!(self.shared.log, "planned stop begins");
-                    force = self.clock.now() + self.shared.settings.drain_limit;
-                    self.turn(Event::Drain);
+                    force_stop_at = self.clock.now() + self.shared.settings.drain_limit;
+                    self.step(Event::Drain);
                 }
             }
         }
     }
 
-    fn turn(&mut self, event: Event) {
+    fn step(&mut self, event: Event) {
         let start = std::time::Instant::now();
         let effects = self.core.on_event(self.clock.now(), event);
         for effect in effects {
             self.apply(effect);
         }
         self.meter.note(start.elapsed());
-        self.shared.page.follow(&self.core, self.meter.longest());
+        self.shared.metrics.update(&self.core, self.meter.longest());
     }
 
     fn apply(&mut self, effect: Effect) {
@@ -215,7 +216,7 @@
                 let is_sent =
                     links.get(&conn).is_none_or(|link| link.send(message.to_frame(), false));
                 if !is_sent {
-                    // Dropping the sender ends the link's task, which tells of it.
+                    // Dropping the sender ends the link's task, which reports `PeerGone`.
                     links.remove(&conn);
                 }
             }
@@ -228,9 +229,9 @@
             }
             Effect::Cancel(id) => self.cancel(id),
             Effect::CancelStray(id) => {
-                warn!(shared.log, "ending a run that belongs to nobody"; "run" => &id);
+                warn!(shared.log, "cancelling an orphaned run at the engine"; "run" => &id);
                 spawn_local(async move {
-                    // The next look finds it again if this did not work.
+                    // If this fails, the next check of the engine's holdings finds it again.
                     let _ = shared.engine.cancel_holding(&id).await;
                 });
             }
@@ -253,19 +254,19 @@
     fn start(&mut self, start: StartRun) {
         let shared = self.shared.clone();
         let id = start.id.clone();
-        let tell: Rc<dyn Fn(RunEvent)> = {
+        let report: Rc<dyn Fn(RunEvent)> = {
             let (shared, id) = (shared.clone(), id.clone());
             Rc::new(move |event| shared.send(Event::Run(id.clone(), event)))
         };
-        let (calls, name) = (self.calls.clone(), id.clone());
+        let (calls, attempt) = (self.calls.clone(), id.clone());
         let has_arrived = Rc::new(Cell::new(false));
         let arrived = has_arrived.clone();
         let task = spawn_local(async move {
             match shared.settings.kind {
-                ServiceKind::Engine => shared.engine.run(start, &arrived, tell).await,
-                ServiceKind::Plain => shared.plain.run(start, tell).await,
+                ServiceKind::Engine => shared.engine.run(start, &arrived, report).await,
+                ServiceKind::Plain => shared.plain.run(start, report).await,
             }
-            calls.borrow_mut().remove(&name);
+            calls.borrow_mut().remove(&attempt);
         });
         let call = TargetCall { task: task.abort_handle(), has_arrived };
         self.calls.borrow_mut().insert(id, call);
@@ -286,17 +287,18 @@
     }
 }
 
-/// Ends a run at the engine. A cancel can overtake the call that brings the
-/// run: then it is repeated until the engine had the run or never will.
+/// Cancels a run at the engine. A cancel can overtake the call that starts the
+/// run: it is therefore repeated until the engine has received the run or
+/// cannot receive it any more.
 async fn cancel_run(shared: &AgentShared, id: &AttemptId, call: Option<&TargetCall>) {
     let name = id.to_string();
-    // A target that is lost meanwhile is reset before it is used again.
-    for _ in 0..LOST_AFTER * 4 {
+    // A target that is lost in the meantime is reset before it is used again.
+    for _ in 0..MAX_FAILED_POLLS * 4 {
         let has_arrived = call.is_none_or(|call| call.has_arrived.get());
         match shared.engine.cancel(&name).await {
             Ok(true) => return,
             Ok(false) if has_arrived => return,
-            _ => tokio::time::sleep(AGAIN_STEP).await,
+            _ => tokio::time::sleep(RETRY_DELAY).await,
         }
     }
 }
@@ -313,14 +315,14 @@
 
 async fn unreserve(shared: Rc<AgentShared>, id: AttemptId) {
     let mut tries = 0;
-    while shared.engine.unreserve(&id).await.is_err() && tries < LOST_AFTER * 4 {
+    while shared.engine.unreserve(&id).await.is_err() && tries < MAX_FAILED_POLLS * 4 {
         tries += 1;
-        tokio::time::sleep(AGAIN_STEP).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
     shared.send(Event::Unreserved(id));
 }
 
-/// Resets the target, then watches it until it is lost.
+/// Resets the target, then polls it until it is lost.
 async fn watch_target(shared: Rc<AgentShared>) {
     if shared.settings.kind == ServiceKind::Plain {
         shared.send(Event::TargetReady(EngineFacts::default()));
@@ -332,17 +334,17 @@
             shared.send(Event::TargetReady(facts));
             break boot;
         }
-        tokio::time::sleep(LOAD_STEP).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     };
-    let mut failed = 0;
-    let mut looks = 0;
+    let mut failed_polls = 0;
+    let mut polls = 0;
     let mut cache_sequence = 0;
-    while failed < LOST_AFTER {
-        tokio::time::sleep(LOAD_STEP).await;
+    while failed_polls < MAX_FAILED_POLLS {
+        tokio::time::sleep(POLL_INTERVAL).await;
         match shared.engine.get_load().await {
-            Ok(load) if load.boot == boot => failed = 0,
+            Ok(load) if load.boot == boot => failed_polls = 0,
             Ok(_) => break,
-            Err(_) => failed += 1,
+            Err(_) => failed_polls += 1,
         }
         if let Ok(events) = shared.engine.get_cache_events(cache_sequence).await {
             for event in events {
@@ -350,11 +352,11 @@
                 shared.send(Event::Cache(event));
             }
         }
-        looks += 1;
-        if looks % LOADS_PER_LOOK == 0
-            && let Ok(runs) = shared.engine.get_holdings().await
+        polls += 1;
+        if polls % POLLS_PER_HOLDINGS_CHECK == 0
+            && let Ok(holdings) = shared.engine.get_holdings().await
         {
-            shared.send(Event::EngineHoldings(runs));
+            shared.send(Event::EngineHoldings(holdings));
         }
     }
     warn!(shared.log, "engine lost");
@@ -386,7 +388,7 @@
     shared.send(Event::PeerGone(conn));
 }
 
-/// Closes all links once what is queued on them has left.
+/// Closes all links after their queued messages have been sent.
 async fn flush_links(shared: &AgentShared) {
     shared.links.borrow_mut().clear();
     let work = async {
@@ -394,5 +396,5 @@
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    let _ = tokio::time::timeout(FLUSH_LIMIT, work).await;
+    let _ = tokio::time::timeout(FLUSH_TIMEOUT, work).await;
 }
--- a/src/agent/engine.rs
+++ b/src/agent/engine.rs
@@ -1,5 +1,7 @@
-//! The agent's calls to a model engine, behind one module: how an engine
-//! shares its memory, pauses and resumes runs is known nowhere else.
+//! HTTP client of the agent for a model engine.
+//!
+//! This is the only module that knows how an engine reserves memory, pauses
+//! and resumes runs.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -23,25 +25,25 @@
 use crate::verdict::Verdict;
 use crate::wire::Call;
 
-/// Longest time of a call that does not run anything.
-const CALL_LIMIT: Duration = Duration::from_secs(2);
+/// Time-out of calls other than runs.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Connections that are kept to the engine.
-const KEPT: usize = 32;
+/// Maximum number of idle connections kept to the engine.
+const MAX_IDLE_CONNECTIONS: usize = 32;
 
-/// Largest event that an engine may send, in bytes.
-const MAX_EVENT: usize = 1024 * 1024;
+/// Maximum size of an engine's stream event, in bytes.
+const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
-/// An engine's load, as it reports it with a lag.
+/// Load report of an engine. It lags behind the engine's state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineLoad {
-    /// Names this life of the engine.
+    /// Number that identifies this instance of the engine: it changes at each restart.
     pub boot: u64,
     /// Memory in tokens.
     pub capacity: u64,
     /// Memory held by runs and reservations, in tokens.
     pub used: u64,
-    /// Most runs at a time.
+    /// Maximum number of concurrent runs.
     pub max_batch: usize,
     /// Models that are loaded.
     pub models: Vec<Arc<str>>,
@@ -50,9 +52,9 @@
 /// Runs and reservations that an engine holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineHoldings {
-    /// Names of runs.
+    /// Identifiers of runs.
     pub runs: Vec<String>,
-    /// Names of reservations.
+    /// Identifiers of reservations.
     pub reservations: Vec<String>,
 }
 
@@ -105,7 +107,7 @@
 
 impl EngineClient {
     pub(super) fn new(address: Arc<str>) -> Self {
-        EngineClient { address, http: HttpClient::new(KEPT) }
+        EngineClient { address, http: HttpClient::new(MAX_IDLE_CONNECTIONS) }
     }
 
     fn request(&self, method: Method, path: &str, body: CallBody) -> Request<CallBody> {
@@ -117,7 +119,7 @@
 
     async fn call(&self, method: Method, path: &str, body: impl Into<Bytes>) -> Result<Bytes> {
         let request = self.request(method, path, full(body));
-        let response = self.http.call(request, CALL_LIMIT).await?;
+        let response = self.http.call(request, CALL_TIMEOUT).await?;
         if response.status().is_success() {
             return Ok(response.into_body());
         }
@@ -127,10 +129,10 @@
         }))
     }
 
-    /// Ends something. Returns whether it was there.
+    /// Deletes a resource. Returns whether it existed.
     async fn delete(&self, path: &str) -> Result<bool> {
         let request = self.request(Method::DELETE, path, full(""));
-        let response = self.http.call(request, CALL_LIMIT).await?;
+        let response = self.http.call(request, CALL_TIMEOUT).await?;
         match response.status() {
             StatusCode::NOT_FOUND => Ok(false),
             status if status.is_success() => Ok(true),
@@ -143,7 +145,8 @@
         serde_json::from_slice(&body).map_err(Error::unreachable)
     }
 
-    /// Ends all that the engine holds, and reads what it can do.
+    /// Deletes all runs and reservations of the engine. Returns its properties and its boot
+    /// number.
     pub(super) async fn reset(&self) -> Result<(EngineFacts, u64)> {
         self.delete("/v1/runs").await?;
         let load = self.get_load().await?;
@@ -169,13 +172,13 @@
         serde_json::from_slice(&body).map_err(Error::unreachable)
     }
 
-    /// Ends whatever the engine holds under a name.
+    /// Deletes the reservation and the run of a given name.
     pub(super) async fn cancel_holding(&self, name: &str) -> Result<bool> {
         self.delete(&format!("/v1/kv/{name}")).await?;
         self.cancel(name).await
     }
 
-    /// Ends a run. Returns whether the engine had it.
+    /// Cancels a run. Returns whether the engine had it.
     pub(super) async fn cancel(&self, run: &str) -> Result<bool> {
         self.delete(&format!("/v1/runs/{run}")).await
     }
@@ -194,17 +197,17 @@
         self.delete(&format!("/v1/kv/{id}")).await.map(drop)
     }
 
-    /// Runs an attempt and tells of all that happens to it.
-    /// Sets `has_arrived` once the engine has the run, or never will have it.
+    /// Runs an attempt and reports its events. Sets `has_arrived` once the engine has received
+    /// the run or cannot receive it any more.
     pub(super) async fn run(
         &self,
         start: StartRun,
         has_arrived: &Cell<bool>,
-        tell: Rc<dyn Fn(RunEvent)>,
+        report: Rc<dyn Fn(RunEvent)>,
     ) {
-        if let Err(event) = self.try_run(start, has_arrived, &tell).await {
+        if let Err(event) = self.try_run(start, has_arrived, &report).await {
             has_arrived.set(true);
-            tell(event);
+            report(event);
         }
     }
 
@@ -212,7 +215,7 @@
         &self,
         start: StartRun,
         has_arrived: &Cell<bool>,
-        tell: &Rc<dyn Fn(RunEvent)>,
+        report: &Rc<dyn Fn(RunEvent)>,
     ) -> std::result::Result<(), RunEvent> {
         let request = self.to_request(start);
         let response = self.http.send(request).await.map_err(|fault| match fault {
@@ -222,7 +225,7 @@
         has_arrived.set(true);
         let status = response.status();
         if !status.is_success() {
-            tell_backoff(&response, tell);
+            report_backoff(&response, report);
             let text = format!("the engine answered {status}");
             return Err(RunEvent::Failed(Verdict::NotRun, text.into()));
         }
@@ -232,8 +235,8 @@
                 .next()
                 .await
                 .map_err(|text| RunEvent::Failed(Verdict::MayHaveRun, text.into()))?;
-            let is_over = tell_event(event, tell)?;
-            if is_over {
+            let is_last = report_event(event, report)?;
+            if is_last {
                 return Ok(());
             }
         }
@@ -269,38 +272,38 @@
     }
 }
 
-/// Tells for how long a target wants nothing more that turned a call away.
-pub(super) fn tell_backoff<T>(response: &Response<T>, tell: &Rc<dyn Fn(RunEvent)>) {
-    let turns_away = [StatusCode::SERVICE_UNAVAILABLE, StatusCode::TOO_MANY_REQUESTS];
-    if turns_away.contains(&response.status())
-        && let Some(span) = parse_retry_after(response.headers())
+/// Reports the back-off that an overloaded target asks for in `Retry-After`.
+pub(super) fn report_backoff<T>(response: &Response<T>, report: &Rc<dyn Fn(RunEvent)>) {
+    let overload_statuses = [StatusCode::SERVICE_UNAVAILABLE, StatusCode::TOO_MANY_REQUESTS];
+    if overload_statuses.contains(&response.status())
+        && let Some(delay) = parse_retry_after(response.headers())
     {
-        tell(RunEvent::BackOff(span));
+        report(RunEvent::BackOff(delay));
     }
 }
 
-/// Tells of an event, true after the last one.
-fn tell_event(
+/// Reports an event of a run. Returns `true` after the last one.
+fn report_event(
     event: StreamEvent,
-    tell: &Rc<dyn Fn(RunEvent)>,
+    report: &Rc<dyn Fn(RunEvent)>,
 ) -> std::result::Result<bool, RunEvent> {
     if let Some(text) = event.error {
         return Err(RunEvent::Failed(Verdict::MayHaveRun, text.into()));
     }
     if let Some(tokens) = event.paused {
-        tell(RunEvent::Paused(tokens));
+        report(RunEvent::Paused(tokens));
     }
     let mut finish_reason = None;
     for choice in event.choices {
         if !choice.text.is_empty() {
-            tell(RunEvent::Text(choice.text.into()));
+            report(RunEvent::Text(choice.text.into()));
         }
         finish_reason = choice.finish_reason;
     }
     let Some(usage) = event.usage else {
         return Ok(false);
     };
-    tell(RunEvent::Done(RunUsage {
+    report(RunEvent::Done(RunUsage {
         prompt_tokens: usage.prompt,
         cached_tokens: usage.cached,
         answer_tokens: usage.answer,
@@ -309,7 +312,7 @@
     Ok(true)
 }
 
-/// The engine's order among the runs that it has: the lowest first.
+/// Converts an urgency to the engine's run priority: the engine serves the lowest first.
 fn to_priority(urgency: Urgency) -> u8 {
     match urgency {
         Urgency::Interactive => 0,
@@ -318,7 +321,7 @@
     }
 }
 
-/// Events of a stream of server-sent events.
+/// Reader of a stream of server-sent events.
 struct EventStream {
     body: Incoming,
     pending: BytesMut,
@@ -340,7 +343,7 @@
                 }
                 return serde_json::from_slice(json).map_err(|error| error.to_string());
             }
-            if self.pending.len() > MAX_EVENT {
+            if self.pending.len() > MAX_EVENT_BYTES {
                 return Err("the engine's event is too large".to_owned());
             }
             match self.body.frame().await {
--- a/src/agent/event.rs
+++ b/src/agent/event.rs
@@ -1,4 +1,4 @@
-//! What an agent's core hears and what it wants done.
+//! Input events and output effects of the agent's core.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,166 +11,166 @@
 use crate::verdict::Verdict;
 use crate::wire::{Call, Shard, ToAgent, ToEntry};
 
-/// A connection from an entry, counted over the agent's life.
+/// Number of a connection from an entry, unique within the agent process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ConnId(pub u64);
 
-/// What an engine says of itself when it is ready.
+/// Properties that an engine reports when it becomes ready.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EngineFacts {
-    /// Address by which other engines reach it.
+    /// Address at which other engines reach it.
     pub address: Arc<str>,
-    /// Memory in tokens, zero for a plain service.
+    /// Memory in tokens; zero for a plain service.
     pub capacity: u64,
-    /// Most runs at a time.
+    /// Maximum number of concurrent runs.
     pub max_batch: usize,
     /// Models that are loaded; empty for a plain service.
     pub models: Vec<Arc<str>>,
 }
 
-/// A run or a reservation that the engine reports to hold.
+/// A run or memory reservation that the engine reports to hold.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineHolding {
-    /// Name that an agent gave it.
+    /// Name that an agent gave to it.
     pub id: String,
 }
 
-/// Counts at the end of a run.
+/// Token counts of a completed run.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RunUsage {
     /// Tokens of the prompt.
     pub prompt_tokens: u64,
-    /// Prompt tokens from the prefix cache.
+    /// Prompt tokens served from the prefix cache.
     pub cached_tokens: u64,
     /// Tokens of the answer.
     pub answer_tokens: u64,
-    /// Reason of the end.
+    /// Finish reason that the engine gave.
     pub finish_reason: Arc<str>,
 }
 
-/// What happens to a run at its target.
+/// An event of a run at its target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RunEvent {
-    /// Status and content type of a plain service's answer.
+    /// The status and content type of a plain service's answer arrived.
     Head(u16, Arc<str>),
-    /// A part of the answer.
+    /// A part of the answer arrived.
     Text(Bytes),
-    /// The prefill reached its limit; so many tokens are done.
+    /// The prefill paused at its limit, with this number of prompt tokens done.
     Paused(u64),
-    /// The answer is whole.
+    /// The answer is complete.
     Done(RunUsage),
-    /// The target wants nothing more for so long.
+    /// The target asked for no new runs for this duration.
     BackOff(Duration),
-    /// It ended otherwise.
+    /// The run failed.
     Failed(Verdict, Arc<str>),
-    /// The target holds nothing of it any more.
+    /// The target has released all that the run held.
     Cancelled,
 }
 
-/// What an agent's core hears.
+/// An input of the agent's core.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// An entry connected. Its earlier connections are void from now on.
+    /// An entry connected. This invalidates its earlier connections.
     PeerUp(ConnId, ProcessId),
     /// A connection ended.
     PeerGone(ConnId),
-    /// A message came.
+    /// A message arrived on a connection.
     Peer(ConnId, ToAgent),
-    /// The target is reset and ready.
+    /// The target has been reset and is ready.
     TargetReady(EngineFacts),
-    /// The target does not answer.
+    /// The target no longer answers, or has restarted.
     TargetLost,
-    /// Something happened to a run.
+    /// An event of a run.
     Run(AttemptId, RunEvent),
-    /// Memory for a group is reserved, or could not be.
+    /// The engine answered a reservation for a hold: `true` if it reserved the memory.
     Reserved(AttemptId, bool),
-    /// Memory for a group is given back.
+    /// The engine has released the reservation of a hold.
     Unreserved(AttemptId),
-    /// A change of the prefix cache.
+    /// The engine's prefix cache changed.
     Cache(CacheEvent),
-    /// What the engine says it holds.
+    /// The runs and reservations that the engine reports to hold.
     EngineHoldings(Vec<EngineHolding>),
     /// A planned stop begins.
     Drain,
-    /// Time has passed.
+    /// Time has passed; due timers are processed.
     Wake,
 }
 
-/// One run to be given to the target.
+/// A run to start at the target.
 #[derive(Clone, Debug)]
 pub struct StartRun {
-    /// Its name.
+    /// Identifier of the attempt.
     pub id: AttemptId,
-    /// What is to be done.
+    /// The call to make.
     pub call: Call,
-    /// Client account, which salts the prefix cache.
+    /// Client account; salts the engine's prefix cache.
     pub account: Arc<str>,
-    /// For the engine's own order.
+    /// Urgency, from which the engine's run priority is derived.
     pub urgency: Urgency,
-    /// The caller's body.
+    /// Body of the caller's request.
     pub body: Vec<Bytes>,
-    /// Tokens to prefill before the run pauses; none for all.
+    /// Prompt tokens to prefill before the run pauses; `None` for the whole prompt.
     pub prefill_limit: Option<u64>,
-    /// Most tokens of the answer.
+    /// Maximum tokens of the answer.
     pub answer_tokens: u64,
-    /// Memory on further engines.
+    /// Memory reserved on other engines.
     pub shards: Vec<Shard>,
-    /// Time left.
+    /// Time left until the attempt's deadline.
     pub remaining: Duration,
 }
 
-/// What an agent's core wants done.
+/// An action that the agent's core requests from its daemon.
 #[derive(Debug)]
 pub enum Effect {
-    /// Send a message.
+    /// Send a message on a connection.
     Send(ConnId, ToEntry),
-    /// Cancel all that the target still runs, then report it ready.
+    /// Cancel everything that the target still runs, then report it ready.
     Reset,
     /// Start a run.
     Start(Box<StartRun>),
-    /// Let a paused run prefill up to so many tokens; none for all.
+    /// Resume a paused run up to this number of prompt tokens; `None` for the whole prompt.
     Resume(AttemptId, Option<u64>),
-    /// End a run; answered by [`RunEvent::Cancelled`].
+    /// Cancel a run; answered by [`RunEvent::Cancelled`].
     Cancel(AttemptId),
-    /// End a run, or give back a reservation, that no attempt stands for.
+    /// Cancel an orphan: a run or reservation at the engine that belongs to no known attempt.
     CancelStray(String),
-    /// Reserve memory for a group.
+    /// Reserve engine memory, in tokens, for a hold; answered by [`Event::Reserved`].
     Reserve(AttemptId, u64),
-    /// Give it back; answered by [`Event::Unreserved`].
+    /// Release the reservation of a hold; answered by [`Event::Unreserved`].
     Unreserve(AttemptId),
-    /// Note an event on the time line.
+    /// Record an event in the timeline.
     Record {
-        /// The attempt's request.
+        /// Identifier of the attempt's request.
         request: String,
         /// Kind of event.
         kind: &'static str,
-        /// For a reader.
+        /// Human-readable detail.
         detail: String,
     },
     /// The planned stop is complete.
     Stopped,
 }
 
-/// Bounds by which an agent works.
+/// Limits and time-outs of an agent.
 #[derive(Clone, Debug)]
 pub struct AgentTuning {
-    /// Tokens of prefill that go to the engine in one piece.
+    /// Maximum tokens of one prefill piece: longer prompts are prefilled piece by piece.
     pub piece_tokens: u64,
-    /// Long prompts that are prefilled at one time, piece by piece in turn.
+    /// Maximum number of long prompts whose pieces are prefilled in alternation.
     pub max_long: usize,
-    /// Tokens of prefill at the engine at one time, beyond a first run.
+    /// Maximum tokens in prefill at the engine at one time; a run may exceed it while no other is in prefill.
     pub prefill_tokens: u64,
-    /// Most attempts that wait.
+    /// Maximum number of queued attempts.
     pub max_queue: usize,
-    /// How long a run outlives the loss of its connection.
-    pub orphan_grace: Duration,
-    /// How long an outcome is kept after its attempt's time limit.
+    /// Time for which a run continues after the loss of its connection.
+    pub disconnect_grace: Duration,
+    /// Time for which an outcome is kept after its attempt's deadline.
     pub ledger_margin: Duration,
-    /// How long a run that does not fit lets smaller ones pass.
-    pub patience: Duration,
-    /// How long a group's claim on memory lets single runs pass.
-    pub claim_patience: Duration,
-    /// Stop the program at a broken invariant.
+    /// Time for which smaller runs may overtake a queued run that does not fit in memory.
+    pub bypass_window: Duration,
+    /// Time for which single-engine runs may overtake a pending hold.
+    pub hold_bypass_window: Duration,
+    /// Panic on a broken invariant.
     pub strict: bool,
 }
 
@@ -181,10 +181,10 @@
             prefill_tokens: 16_384,
             max_long: 4,
             max_queue: 512,
-            orphan_grace: Duration::from_secs(10),
+            disconnect_grace: Duration::from_secs(10),
             ledger_margin: Duration::from_secs(60),
-            patience: Duration::from_secs(5),
-            claim_patience: Duration::from_millis(500),
+            bypass_window: Duration::from_secs(5),
+            hold_bypass_window: Duration::from_millis(500),
             strict: cfg!(debug_assertions),
         }
     }
--- a/src/agent/holds.rs
+++ b/src/agent/holds.rs
@@ -1,4 +1,4 @@
-//! Memory that is held for runs on other engines.
+//! Holds: engine memory reserved for attempts that are sharded over several engines.
 
 use std::time::Duration;
 
@@ -9,13 +9,13 @@
 use crate::time::Tick;
 use crate::wire::{Hold, ToEntry};
 
-/// A group's wish for memory that is not free yet.
+/// A requested hold whose memory is not reserved yet.
 #[derive(Debug)]
-pub(super) struct HoldClaim {
+pub(super) struct PendingHold {
     pub(super) id: AttemptId,
     pub(super) conn: ConnId,
     pub(super) tokens: u64,
-    pub(super) since: Tick,
+    pub(super) requested_at: Tick,
     pub(super) expires: Tick,
 }
 
@@ -26,17 +26,23 @@
             self.on_renewal(conn, &id, expires);
             return;
         }
-        let is_open = !self.leaving && self.is_ready() && !self.unreserving.contains(&id);
+        let is_open = !self.leaving && self.is_ready() && !self.releasing.contains(&id);
         if !is_open || hold.tokens > self.leases.capacity() || self.leases.get(&id).is_some() {
             self.send(Some(conn), ToEntry::NotHeld(id.key));
             return;
         }
         self.timers.subscribe(expires, Timer::Lease(id.clone()));
-        self.claims.push(HoldClaim { id, conn, tokens: hold.tokens, since: now, expires });
+        self.pending_holds.push(PendingHold {
+            id,
+            conn,
+            tokens: hold.tokens,
+            requested_at: now,
+            expires,
+        });
     }
 
     pub(super) fn on_renewal(&mut self, conn: ConnId, id: &AttemptId, expires: Tick) {
-        let is_known = !self.unreserving.contains(id) && self.leases.renew(id, expires);
+        let is_known = !self.releasing.contains(id) && self.leases.renew(id, expires);
         if !is_known {
             self.send(Some(conn), ToEntry::NotHeld(id.key));
             return;
@@ -47,22 +53,22 @@
         self.send(Some(conn), ToEntry::Held { attempt: id.key, engine });
     }
 
-    /// Takes leases for the claims that fit, the oldest first.
-    pub(super) fn serve_claims(&mut self) {
-        while let Some(claim) = self.claims.first() {
+    /// Leases memory to the pending holds that fit, oldest first.
+    pub(super) fn grant_holds(&mut self) {
+        while let Some(hold) = self.pending_holds.first() {
             let usage = LeaseUse::Hold;
-            let lease = MemoryLease { tokens: claim.tokens, expires: claim.expires, usage };
-            if !self.leases.reserve(claim.id.clone(), lease) {
+            let lease = MemoryLease { tokens: hold.tokens, expires: hold.expires, usage };
+            if !self.leases.reserve(hold.id.clone(), lease) {
                 return;
             }
-            let claim = self.claims.remove(0);
-            self.holders.insert(claim.id.clone(), claim.conn);
-            self.out.push(Effect::Reserve(claim.id, claim.tokens));
+            let hold = self.pending_holds.remove(0);
+            self.holders.insert(hold.id.clone(), hold.conn);
+            self.effects.push(Effect::Reserve(hold.id, hold.tokens));
         }
     }
 
     pub(super) fn on_reserved(&mut self, id: &AttemptId, is_held: bool) {
-        if self.unreserving.contains(id) {
+        if self.releasing.contains(id) {
             return;
         }
         let conn = self.holders.get(id).copied();
@@ -77,19 +83,19 @@
     }
 
     pub(super) fn on_release(&mut self, id: &AttemptId, now: Tick) {
-        self.claims.retain(|claim| claim.id != *id);
-        if self.leases.is_held(id) && self.unreserving.insert(id.clone()) {
+        self.pending_holds.retain(|hold| hold.id != *id);
+        if self.leases.is_held(id) && self.releasing.insert(id.clone()) {
             self.holders.remove(id);
-            self.out.push(Effect::Unreserve(id.clone()));
-            // A run that waits to use what is given back can not have it.
+            self.effects.push(Effect::Unreserve(id.clone()));
+            // A queued run that depends on this memory can no longer start.
             if self.runs.get(id).is_some_and(|run| !run.is_at_target()) {
-                self.give_up(id, "its memory lease has ended", now);
+                self.abort_queued(id, "its memory lease has ended", now);
             }
         }
     }
 
     pub(super) fn on_unreserved(&mut self, id: &AttemptId) {
-        if self.unreserving.remove(id) {
+        if self.releasing.remove(id) {
             self.leases.release(id);
         }
     }
--- a/src/agent/lease.rs
+++ b/src/agent/lease.rs
@@ -5,54 +5,55 @@
 use crate::id::AttemptId;
 use crate::time::Tick;
 
-/// What a lease is for.
+/// Purpose of a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseUse {
     /// A run on this engine.
     Run,
-    /// A part of a prompt whose run is on another engine.
+    /// Memory held for an attempt that is sharded over several engines and does not run here
+    /// yet.
     Hold,
 }
 
-/// A reservation of memory.
+/// A lease on a part of an engine's memory.
 #[derive(Clone, Debug)]
 pub struct MemoryLease {
-    /// Tokens.
+    /// Leased memory, in tokens.
     pub tokens: u64,
-    /// When the owner's claim ends.
+    /// Time at which the lease expires.
     pub expires: Tick,
-    /// What for.
+    /// Purpose.
     pub usage: LeaseUse,
 }
 
-/// Every reservation of one engine's memory. Nothing else holds memory.
+/// All leases on one engine's memory. No run holds memory without a lease.
 #[derive(Debug, Default)]
-pub struct LeaseBook {
+pub struct LeaseTable {
     capacity: u64,
     used: u64,
     leases: BTreeMap<AttemptId, MemoryLease>,
 }
 
-impl LeaseBook {
-    /// A book of an engine with `capacity` tokens of memory.
+impl LeaseTable {
+    /// Creates the table of an engine with `capacity` tokens of memory.
     #[must_use]
     pub fn new(capacity: u64) -> Self {
-        LeaseBook { capacity, ..LeaseBook::default() }
+        LeaseTable { capacity, ..LeaseTable::default() }
     }
 
-    /// Tokens of the whole engine.
+    /// Returns the engine's memory, in tokens.
     #[must_use]
     pub fn capacity(&self) -> u64 {
         self.capacity
     }
 
-    /// Tokens that no lease holds.
+    /// Returns the memory that is not leased, in tokens.
     #[must_use]
     pub fn free(&self) -> u64 {
         self.capacity - self.used
     }
 
-    /// Takes a lease, false where memory is short.
+    /// Adds a lease. Returns `false` if `id` has one already or memory does not suffice.
     pub fn reserve(&mut self, id: AttemptId, lease: MemoryLease) -> bool {
         if self.leases.contains_key(&id) || lease.tokens > self.free() {
             return false;
@@ -62,7 +63,7 @@
         true
     }
 
-    /// Moves the end of a lease, false where there is none.
+    /// Extends a lease. Returns `false` if there is none.
     pub fn renew(&mut self, id: &AttemptId, expires: Tick) -> bool {
         let Some(lease) = self.leases.get_mut(id) else {
             return false;
@@ -71,7 +72,7 @@
         true
     }
 
-    /// Makes a run's lease of a hold, false where there is no hold.
+    /// Converts a hold into the lease of a run. Returns `false` if there is no hold.
     pub fn convert(&mut self, id: &AttemptId, expires: Tick) -> bool {
         let Some(lease) = self.leases.get_mut(id) else {
             return false;
@@ -82,57 +83,57 @@
         was_hold
     }
 
-    /// Returns true where memory is held for an attempt that does not run yet.
+    /// Returns `true` if memory is held for an attempt that does not run yet.
     #[must_use]
     pub fn is_held(&self, id: &AttemptId) -> bool {
         self.leases.get(id).is_some_and(|lease| lease.usage == LeaseUse::Hold)
     }
 
-    /// Gives a lease back.
+    /// Removes a lease and frees its memory.
     pub fn release(&mut self, id: &AttemptId) -> Option<MemoryLease> {
         let lease = self.leases.remove(id)?;
         self.used -= lease.tokens;
         Some(lease)
     }
 
-    /// Looks up a lease.
+    /// Returns the lease of an attempt.
     #[must_use]
     pub fn get(&self, id: &AttemptId) -> Option<&MemoryLease> {
         self.leases.get(id)
     }
 
-    /// Leases whose time is over.
+    /// Returns the attempts whose leases have expired.
     #[must_use]
     pub fn expired(&self, now: Tick) -> Vec<AttemptId> {
-        let over = self.leases.iter().filter(|(_, lease)| lease.expires <= now);
-        over.map(|(id, _)| id.clone()).collect()
+        let expired = self.leases.iter().filter(|(_, lease)| lease.expires <= now);
+        expired.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Names of all leases.
+    /// Returns the attempts of all leases.
     #[must_use]
     pub fn all(&self) -> Vec<AttemptId> {
         self.leases.keys().cloned().collect()
     }
 
-    /// Names of the leases that runs hold.
+    /// Iterates over the attempts whose leases belong to runs.
     pub fn runs(&self) -> impl Iterator<Item = &AttemptId> {
         let runs = self.leases.iter().filter(|(_, lease)| lease.usage == LeaseUse::Run);
         runs.map(|(id, _)| id)
     }
 
-    /// How many leases there are.
+    /// Returns the number of leases.
     #[must_use]
     pub fn len(&self) -> usize {
         self.leases.len()
     }
 
-    /// Returns true where nothing is reserved.
+    /// Returns `true` if there are no leases.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.leases.is_empty()
     }
 
-    /// Returns true where the sum of the leases is what counts as used.
+    /// Returns `true` if the leases sum up to the memory counted as used, within capacity.
     #[must_use]
     pub fn is_balanced(&self) -> bool {
         let sum: u64 = self.leases.values().map(|lease| lease.tokens).sum();
--- a/src/agent/ledger.rs
+++ b/src/agent/ledger.rs
@@ -1,4 +1,4 @@
-//! What became of attempts, kept until nobody can ask any more.
+//! Outcomes of attempts, kept for as long as an entry may ask for them.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -10,31 +10,31 @@
 use crate::verdict::Verdict;
 use crate::wire::Completion;
 
-/// The end of an attempt.
+/// Outcome of an attempt.
 #[derive(Clone, Debug)]
 pub enum Outcome {
-    /// It came to a whole answer.
+    /// The answer is complete.
     Done {
         /// Status and content type of a plain service's answer.
         head: Option<(u16, Arc<str>)>,
         /// The answer.
         output: Bytes,
-        /// Counts.
+        /// Length and token counts of the answer.
         completion: Completion,
     },
-    /// It failed.
+    /// The attempt failed.
     Failed {
-        /// Whether it may have run.
+        /// Whether the attempt may have run.
         verdict: Verdict,
-        /// For a reader.
+        /// Human-readable reason.
         reason: Arc<str>,
     },
 }
 
-/// Outcomes of attempts, each kept until a stated time.
+/// Outcomes of attempts, each kept until a given time.
 ///
-/// The bound is the attempt's own time limit and a margin: its entry has
-/// given the caller a final answer by then, and does not ask again.
+/// That time is the attempt's deadline plus a margin: by then its entry has
+/// given the caller a final answer and does not ask again.
 #[derive(Debug, Default)]
 pub struct OutcomeLedger {
     outcomes: HashMap<AttemptId, Outcome>,
@@ -42,38 +42,38 @@
 }
 
 impl OutcomeLedger {
-    /// Notes an outcome until `until`.
+    /// Stores an outcome until `until`.
     pub fn insert(&mut self, id: AttemptId, outcome: Outcome, until: Tick) {
         self.timers.subscribe(until, id.clone());
         self.outcomes.insert(id, outcome);
     }
 
-    /// Looks up an outcome.
+    /// Returns the outcome of an attempt.
     #[must_use]
     pub fn get(&self, id: &AttemptId) -> Option<&Outcome> {
         self.outcomes.get(id)
     }
 
-    /// Forgets what is due.
+    /// Removes the outcomes whose time is over.
     pub fn expire(&mut self, now: Tick) {
         while let Some(id) = self.timers.pop_due(now) {
             self.outcomes.remove(&id);
         }
     }
 
-    /// The next time at which something is to be forgotten.
+    /// Returns the time at which the next outcome expires.
     #[must_use]
     pub fn peek_next(&self) -> Option<Tick> {
         self.timers.peek_next()
     }
 
-    /// How many outcomes are kept.
+    /// Returns the number of stored outcomes.
     #[must_use]
     pub fn len(&self) -> usize {
         self.outcomes.len()
     }
 
-    /// Returns true where none is kept.
+    /// Returns `true` if no outcome is stored.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.outcomes.is_empty()
--- a/src/agent/page.rs
+++ b/src/agent/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics, health and events of an agent, for operators.
+//! HTTP endpoints of an agent for operators: health, metrics and timeline.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -21,68 +21,71 @@
     failed: CountMirror,
     refused: CountMirror,
     cancelled: CountMirror,
-    strays: CountMirror,
+    orphans: CountMirror,
     probes: CountMirror,
-    gaps: CountMirror,
-    broken: CountMirror,
+    cache_gaps: CountMirror,
+    broken_invariants: CountMirror,
 }
 
-/// The page that an agent shows.
+/// Metrics of an agent.
 #[derive(Debug)]
-pub(super) struct AgentPage {
-    page: MetricsPage,
+pub(super) struct AgentMetrics {
+    registry: MetricsPage,
     counters: AgentCounters,
-    open: IntGauge,
-    leased: IntGauge,
-    longest_turn: IntGauge,
+    open_runs: IntGauge,
+    leased_tokens: IntGauge,
+    longest_iteration: IntGauge,
 }
 
-impl AgentPage {
+impl AgentMetrics {
     pub(super) fn new() -> Self {
-        let page = MetricsPage::default();
+        let registry = MetricsPage::default();
         let count =
-            |name: &str, help: &str| page.add_count(&format!("shalelane_agent_{name}"), help);
+            |name: &str, help: &str| registry.add_count(&format!("shalelane_agent_{name}"), help);
         let counters = AgentCounters {
             started: count("started_total", "Runs given to the target"),
             done: count("done_total", "Whole answers"),
             failed: count("failed_total", "Runs that ended otherwise"),
             refused: count("refused_total", "Attempts refused, not run"),
             cancelled: count("cancelled_total", "Runs that nobody wanted any more"),
-            strays: count("strays_total", "Things the engine held for nobody"),
+            orphans: count("strays_total", "Things the engine held for nobody"),
             probes: count("probes_total", "Probes answered"),
-            gaps: count("cache_gaps_total", "Gaps in the engine's cache events"),
-            broken: count("broken_invariants_total", "Promises found broken"),
+            cache_gaps: count("cache_gaps_total", "Gaps in the engine's cache events"),
+            broken_invariants: count("broken_invariants_total", "Promises found broken"),
         };
         let gauge =
-            |name: &str, help: &str| page.add_gauge(&format!("shalelane_agent_{name}"), help);
-        AgentPage {
-            open: gauge("open_runs", "Attempts that have not ended"),
-            leased: gauge("leased_tokens", "Tokens of memory under lease"),
-            longest_turn: gauge("longest_turn_us", "Longest turn of the loop, in microseconds"),
+            |name: &str, help: &str| registry.add_gauge(&format!("shalelane_agent_{name}"), help);
+        AgentMetrics {
+            open_runs: gauge("open_runs", "Attempts that have not ended"),
+            leased_tokens: gauge("leased_tokens", "Tokens of memory under lease"),
+            longest_iteration: gauge(
+                "longest_turn_us",
+                "Longest turn of the loop, in microseconds",
+            ),
             counters,
-            page,
+            registry,
         }
     }
 
-    /// Takes over what the core counts.
-    pub(super) fn follow(&self, core: &AgentCore, longest: Duration) {
+    /// Updates the metrics from the core's counts.
+    pub(super) fn update(&self, core: &AgentCore, longest_iteration: Duration) {
         let (counts, counters) = (core.counts(), &self.counters);
         counters.started.follow(counts.started);
         counters.done.follow(counts.done);
         counters.failed.follow(counts.failed);
         counters.refused.follow(counts.refused);
         counters.cancelled.follow(counts.cancelled);
-        counters.strays.follow(counts.strays);
+        counters.orphans.follow(counts.orphans);
         counters.probes.follow(counts.probes);
-        counters.gaps.follow(core.cache_gaps());
-        counters.broken.follow(core.broken_invariants());
-        self.open.set(core.open_runs() as i64);
-        self.leased.set(core.leased_tokens() as i64);
-        self.longest_turn.set(longest.as_micros() as i64);
+        counters.cache_gaps.follow(core.cache_gaps());
+        counters.broken_invariants.follow(core.broken_invariants());
+        self.open_runs.set(core.open_runs() as i64);
+        self.leased_tokens.set(core.leased_tokens() as i64);
+        self.longest_iteration.set(longest_iteration.as_micros() as i64);
     }
 }
 
-/// Accepts operators until the task is ended.
+/// Accepts connections until the task is aborted.
 pub(super) async fn serve(shared: Rc<AgentShared>, listener: TcpListener) {
     loop {
         let stream = accept_next(&listener).await;
@@ -97,12 +100,12 @@
     match (request.method(), request.uri().path()) {
         (&Method::GET, "/healthz") => answer(StatusCode::OK, "text/plain", "ok\n"),
         (&Method::GET, "/metrics") => {
-            answer(StatusCode::OK, "text/plain; version=0.0.4", shared.page.page.to_text())
+            answer(StatusCode::OK, "text/plain; version=0.0.4", shared.metrics.registry.to_text())
         }
         (&Method::GET, "/timeline") => {
-            let line = shared.timeline.borrow();
-            let wanted = request.uri().query().and_then(|query| query.strip_prefix("request="));
-            let records: Vec<_> = line.select(wanted.unwrap_or("")).collect();
+            let timeline = shared.timeline.borrow();
+            let request_id = request.uri().query().and_then(|query| query.strip_prefix("request="));
+            let records: Vec<_> = timeline.select(request_id.unwrap_or("")).collect();
             answer_json(StatusCode::OK, &records)
         }
         _ => answer(StatusCode::NOT_FOUND, "text/plain", "no such path\n"),
--- a/src/agent/mod.rs
+++ b/src/agent/mod.rs
@@ -1,12 +1,12 @@
-//! The agent: the only way to one target.
+//! The agent: a proxy that is the only way to one target.
 //!
-//! [`AgentCore`] decides and does no input or output: it takes an
-//! [`Event`] and the time, and returns [`Effect`]s. The daemon round it turns
-//! sockets and timers into events, and effects into sockets.
+//! [`AgentCore`] makes the decisions and does no I/O: it takes an [`Event`]
+//! and the time, and returns [`Effect`]s. The daemon around it turns socket
+//! input and timers into events, and carries out the effects.
 //!
-//! The agent knows the true memory and queue of its target, because every
-//! request comes through it. It holds the leases on the engine's memory, the
-//! order of work, and the ledger by which no attempt runs twice.
+//! The agent knows the exact memory use and queue of its target, because every
+//! request passes through it. It holds the leases on the engine's memory, the
+//! scheduling order, and the ledger that keeps any attempt from running twice.
 
 mod attempts;
 pub mod cache;
@@ -17,7 +17,7 @@
 mod holds;
 pub mod lease;
 pub mod ledger;
-mod page;
+mod metrics;
 mod plain;
 pub mod predict;
 pub mod queue;
--- a/src/agent/plain.rs
+++ b/src/agent/plain.rs
@@ -1,4 +1,4 @@
-//! The agent's calls to a plain service.
+//! HTTP client of the agent for a plain service.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -7,7 +7,7 @@
 use hyper::Request;
 use hyper::header::{CONTENT_TYPE, HeaderName, HeaderValue};
 
-use super::engine::tell_backoff;
+use super::engine::report_backoff;
 use super::event::{RunEvent, RunUsage, StartRun};
 use crate::client::{CallBody, CallFault, HttpClient, pieces};
 use crate::verdict::Verdict;
@@ -21,20 +21,24 @@
 }
 
 impl PlainClient {
-    /// Keeps no connection: one that the service closes while a call is on
-    /// its way would leave open whether the call ran.
+    /// Creates a client that keeps no idle connections: if the service closed one
+    /// while a call is in flight, it would be unknown whether the call ran.
     pub(super) fn new(address: Arc<str>) -> Self {
         PlainClient { address, http: HttpClient::new(0) }
     }
 
-    /// Makes a call and tells of all that happens to it.
-    pub(super) async fn run(&self, start: StartRun, tell: Rc<dyn Fn(RunEvent)>) {
-        if let Err(event) = self.try_run(start, &tell).await {
-            tell(event);
+    /// Makes a call and reports its events.
+    pub(super) async fn run(&self, start: StartRun, report: Rc<dyn Fn(RunEvent)>) {
+        if let Err(event) = self.try_run(start, &report).await {
+            report(event);
         }
     }
 
-    async fn try_run(&self, start: StartRun, tell: &Rc<dyn Fn(RunEvent)>) -> Result<(), RunEvent> {
+    async fn try_run(
+        &self,
+        start: StartRun,
+        report: &Rc<dyn Fn(RunEvent)>,
+    ) -> Result<(), RunEvent> {
         let Some(request) = self.to_request(start) else {
             return Err(RunEvent::Failed(Verdict::NotRun, "not a call of a plain service".into()));
         };
@@ -42,20 +46,20 @@
             CallFault::NotSent(text) => RunEvent::Failed(Verdict::NotRun, text.into()),
             CallFault::Unknown(text) => RunEvent::Failed(Verdict::MayHaveRun, text.into()),
         })?;
-        tell_backoff(&response, tell);
+        report_backoff(&response, report);
         let content_type = response.headers().get(CONTENT_TYPE);
         let content_type = content_type.and_then(|value| value.to_str().ok());
         let content_type: Arc<str> = content_type.unwrap_or("application/octet-stream").into();
-        tell(RunEvent::Head(response.status().as_u16(), content_type));
+        report(RunEvent::Head(response.status().as_u16(), content_type));
         let mut body = response.into_body();
         while let Some(frame) = body.frame().await {
             let frame = frame
                 .map_err(|error| RunEvent::Failed(Verdict::MayHaveRun, error.to_string().into()))?;
             if let Ok(part) = frame.into_data() {
-                tell(RunEvent::Text(part));
+                report(RunEvent::Text(part));
             }
         }
-        tell(RunEvent::Done(RunUsage::default()));
+        report(RunEvent::Done(RunUsage::default()));
         Ok(())
     }
 
--- a/src/agent/predict.rs
+++ b/src/agent/predict.rs
@@ -1,20 +1,20 @@
-//! Rates of an engine, learned from its runs.
+//! Prefill and decode rates of an engine, estimated from its runs.
 
 use std::time::Duration;
 
-/// Weight of one more observation.
-const GAIN: f64 = 0.1;
+/// Weight of a new observation in the moving average.
+const EWMA_WEIGHT: f64 = 0.1;
 
-/// Least uncached tokens of a run that teaches a prefill rate.
-const SHORTEST_LESSON: u64 = 512;
+/// Minimum prefilled tokens for an observation of the prefill rate.
+const MIN_PREFILL_SAMPLE: u64 = 512;
 
-/// Prefill and decode rates of one engine, in tokens a second.
+/// Moving averages of one engine's prefill and decode rates, in tokens per second.
 #[derive(Clone, Copy, Debug)]
 pub struct RatePredictor {
     prefill: f64,
     decode: f64,
-    /// Tokens of an answer. Callers state far more than they get, so what
-    /// they state says little.
+    /// Average tokens of an answer. Callers request a far higher maximum than
+    /// they get, so that maximum is a poor estimate.
     answer: f64,
 }
 
@@ -25,42 +25,42 @@
 }
 
 impl RatePredictor {
-    /// Learns from a prefill of `tokens` that had the engine to itself.
-    pub fn learn_prefill(&mut self, tokens: u64, span: Duration) {
-        if tokens < SHORTEST_LESSON || span.is_zero() {
+    /// Records a prefill of `tokens` that ran alone at the engine.
+    pub fn observe_prefill(&mut self, tokens: u64, elapsed: Duration) {
+        if tokens < MIN_PREFILL_SAMPLE || elapsed.is_zero() {
             return;
         }
-        let seen = tokens as f64 / span.as_secs_f64();
-        self.prefill += GAIN * (seen - self.prefill);
+        let rate = tokens as f64 / elapsed.as_secs_f64();
+        self.prefill += EWMA_WEIGHT * (rate - self.prefill);
     }
 
-    /// Learns from one stream's answer of `tokens`.
-    pub fn learn_decode(&mut self, tokens: u64, span: Duration) {
-        if tokens < 2 || span.is_zero() {
+    /// Records the decoding of one answer of `tokens`.
+    pub fn observe_decode(&mut self, tokens: u64, elapsed: Duration) {
+        if tokens < 2 || elapsed.is_zero() {
             return;
         }
-        let seen = tokens as f64 / span.as_secs_f64();
-        self.decode += GAIN * (seen - self.decode);
+        let rate = tokens as f64 / elapsed.as_secs_f64();
+        self.decode += EWMA_WEIGHT * (rate - self.decode);
     }
 
-    /// Learns how long answers are.
-    pub fn learn_answer(&mut self, tokens: u64) {
-        self.answer += GAIN * (tokens as f64 - self.answer);
+    /// Records the length of an answer.
+    pub fn observe_answer_length(&mut self, tokens: u64) {
+        self.answer += EWMA_WEIGHT * (tokens as f64 - self.answer);
     }
 
-    /// Time of one stream to decode an answer of which `most` were asked for.
+    /// Predicts the time to decode an answer of at most `max_tokens`.
     #[must_use]
-    pub fn answer(&self, most: u64) -> Duration {
-        self.decode(most.min(self.answer.ceil() as u64))
+    pub fn answer(&self, max_tokens: u64) -> Duration {
+        self.decode(max_tokens.min(self.answer.ceil() as u64))
     }
 
-    /// Time to prefill `tokens`.
+    /// Predicts the time to prefill `tokens`.
     #[must_use]
     pub fn prefill(&self, tokens: u64) -> Duration {
         Duration::from_secs_f64(tokens as f64 / self.prefill.max(1.0))
     }
 
-    /// Time of one stream to decode `tokens`.
+    /// Predicts the time to decode `tokens` of one answer.
     #[must_use]
     pub fn decode(&self, tokens: u64) -> Duration {
         Duration::from_secs_f64(tokens as f64 / self.decode.max(0.1))
--- a/src/agent/queue.rs
+++ b/src/agent/queue.rs
@@ -1,4 +1,4 @@
-//! The order of work at one target.
+//! Scheduling order at one target: ranks by urgency and fair shares of accounts.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -8,17 +8,17 @@
 use crate::time::Tick;
 
 /// Head start of an interactive request over a normal one, and of a normal
-/// one over a batch one. Whoever has waited that much longer goes first, so
-/// nothing waits for ever.
+/// one over a batch one. A request that has waited for that much longer goes
+/// first, so no request starves.
 const URGENCY_STEP: Duration = Duration::from_secs(2);
 
-/// How far an account that had more than its share can fall back.
+/// Maximum rank penalty of an account that received more than its fair share.
 const MAX_LAG: Duration = Duration::from_secs(4);
 
-/// Place in the order of work: the lowest goes first. In microseconds.
+/// Position in the scheduling order, in microseconds: the lowest goes first.
 pub type Rank = i64;
 
-/// Work done for each account, for fair shares.
+/// Work charged to each account, for weighted fair sharing.
 #[derive(Debug, Default)]
 pub struct FairShare {
     served: HashMap<Arc<str>, u64>,
@@ -26,16 +26,16 @@
 }
 
 impl FairShare {
-    /// Notes work that was begun for an account.
+    /// Charges an account for work that was started.
     pub fn charge(&mut self, account: &Arc<str>, weight: u32, work: Duration) {
         let start = self.served.get(account).copied().unwrap_or(0).max(self.floor);
         let cost = work.as_micros() as u64 / u64::from(weight.max(1));
         self.served.insert(account.clone(), start + cost);
     }
 
-    /// Raises the floor to the least served of the accounts that wait now, so
-    /// that a silent account saves up no claim.
-    pub fn settle<'a>(&mut self, waiting: impl Iterator<Item = &'a Arc<str>>) {
+    /// Raises the floor to the least served account among those that wait now,
+    /// so that an idle account accumulates no credit.
+    pub fn raise_floor<'a>(&mut self, waiting: impl Iterator<Item = &'a Arc<str>>) {
         let least = waiting.map(|account| self.served.get(account).copied().unwrap_or(0)).min();
         let Some(least) = least else { return };
         self.floor = self.floor.max(least);
@@ -43,7 +43,7 @@
         self.served.retain(|_, served| *served > floor);
     }
 
-    /// How much more than the least served waiting account this one had.
+    /// Returns how much more work than the floor an account has received.
     #[must_use]
     pub fn lag(&self, account: &str) -> Duration {
         let served = self.served.get(account).copied().unwrap_or(0);
@@ -51,8 +51,8 @@
     }
 }
 
-/// Ranks work that has waited since `since`, and goes behind by `penalty`
-/// beside what its urgency costs it.
+/// Ranks work that has waited since `since`; `penalty` is added to the
+/// penalty for its urgency.
 #[must_use]
 pub fn to_rank(urgency: Urgency, penalty: Duration, since: Tick, now: Tick) -> Rank {
     let steps = match urgency {
--- a/src/agent/run.rs
+++ b/src/agent/run.rs
@@ -1,4 +1,4 @@
-//! One attempt at an agent, from its dispatch to its end.
+//! State of one attempt at an agent, from its dispatch to its end.
 
 use std::sync::Arc;
 
@@ -8,20 +8,20 @@
 use crate::time::Tick;
 use crate::wire::{Call, Dispatch};
 
-/// Where an attempt stands.
+/// State of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RunState {
-    /// Its body is coming.
+    /// The body is being received.
     Receiving,
-    /// It waits for the target.
+    /// The attempt waits to be sent to the target.
     Queued,
-    /// The target has it and has not answered yet.
+    /// The target runs the attempt and has produced no output yet.
     Prefilling,
-    /// A piece of its prompt is done and the next one waits.
+    /// A piece of the prompt is prefilled and the next piece waits to be scheduled.
     Paused,
-    /// The answer comes.
+    /// The target produces the answer.
     Decoding,
-    /// It has failed or nobody wants it, and the target is to let it go.
+    /// The attempt has failed or was cancelled, and the target has yet to release it.
     Cancelling,
 }
 
@@ -35,22 +35,22 @@
     pub(super) head: Option<(u16, Arc<str>)>,
     pub(super) output: BytesMut,
     pub(super) arrived: Tick,
-    /// Since when it waits for what comes next.
-    pub(super) since: Tick,
+    /// Start of the current wait or prefill piece.
+    pub(super) phase_start: Tick,
     pub(super) started: Option<Tick>,
-    pub(super) first: Option<Tick>,
+    pub(super) first_output: Option<Tick>,
     pub(super) deadline: Tick,
-    pub(super) orphaned: Option<Tick>,
-    /// Tokens believed cached before it started.
+    pub(super) disconnected_at: Option<Tick>,
+    /// Prompt tokens assumed to be cached at the dispatch.
     pub(super) cached: u64,
-    /// Tokens prefilled, cached ones included.
+    /// Prompt tokens prefilled so far, including cached ones.
     pub(super) prefilled: u64,
-    /// Tokens up to which the target may prefill now.
+    /// Prompt tokens up to which the target may prefill at present.
     pub(super) granted: u64,
-    /// Whether the present piece has the engine's prefill to itself.
-    pub(super) alone: bool,
-    /// Parts of the answer so far.
-    pub(super) parts: u64,
+    /// Whether no other run was in prefill when the current piece started.
+    pub(super) prefills_alone: bool,
+    /// Chunks of the answer received so far.
+    pub(super) answer_chunks: u64,
 }
 
 impl Run {
@@ -66,30 +66,30 @@
             head: None,
             output: BytesMut::new(),
             arrived: now,
-            since: now,
+            phase_start: now,
             started: None,
-            first: None,
+            first_output: None,
             deadline,
-            orphaned: None,
+            disconnected_at: None,
             cached,
             prefilled: cached,
             granted: cached,
-            alone: false,
-            parts: 0,
+            prefills_alone: false,
+            answer_chunks: 0,
         }
     }
 
-    /// Tokens of memory that it takes at this target.
+    /// Returns the memory that the run needs at this target, in tokens.
     pub(super) fn local_tokens(&self) -> u64 {
         local_tokens(&self.dispatch)
     }
 
-    /// Tokens of its prompt that are still to be prefilled.
+    /// Returns the prompt tokens that are not prefilled yet.
     pub(super) fn left_to_prefill(&self) -> u64 {
         self.dispatch.need.prompt.saturating_sub(self.prefilled)
     }
 
-    /// Tokens that the target prefills now.
+    /// Returns the tokens that the target is prefilling at present.
     pub(super) fn in_prefill(&self) -> u64 {
         match self.state {
             RunState::Prefilling => self.granted.saturating_sub(self.prefilled),
@@ -101,19 +101,20 @@
         matches!(self.dispatch.call, Call::Plain { .. })
     }
 
-    /// Returns true while the target has it.
+    /// Returns `true` while the target holds the run.
     pub(super) fn is_at_target(&self) -> bool {
         !matches!(self.state, RunState::Receiving | RunState::Queued)
     }
 
-    /// Returns true where its next step is up to the scheduler.
+    /// Returns `true` if the scheduler decides on the run's next step.
     pub(super) fn is_waiting(&self) -> bool {
         matches!(self.state, RunState::Queued | RunState::Paused)
     }
 }
 
-/// Tokens of memory that a dispatch takes at its target.
+/// Returns the memory that a dispatch needs at its target, in tokens: that of its shards on
+/// other engines does not count.
 pub(super) fn local_tokens(dispatch: &Dispatch) -> u64 {
-    let elsewhere: u64 = dispatch.shards.iter().map(|shard| shard.tokens).sum();
-    dispatch.need.total().saturating_sub(elsewhere)
+    let sharded: u64 = dispatch.shards.iter().map(|shard| shard.tokens).sum();
+    dispatch.need.total().saturating_sub(sharded)
 }
--- a/src/agent/schedule.rs
+++ b/src/agent/schedule.rs
@@ -1,4 +1,4 @@
-//! Which waiting run goes next, and how long a new one would wait.
+//! Scheduling of waiting runs, and prediction of how long a new run would wait.
 
 use std::time::Duration;
 
@@ -12,29 +12,29 @@
 use crate::time::Tick;
 use crate::wire::Refusal;
 
-/// Share of the time that is left to prefill a prompt by which it goes behind
+/// Fraction of a prompt's remaining prefill time by which the prompt ranks behind
 /// shorter ones.
-const LENGTH_SHARE: f64 = 0.25;
+const LENGTH_PENALTY_FACTOR: f64 = 0.25;
 
-/// Most that a prompt goes behind for its length.
+/// Maximum rank penalty of a prompt for its length.
 const MAX_LENGTH_PENALTY: Duration = Duration::from_secs(10);
 
-/// Calls that a plain service takes at a time.
-const PLAIN_CONCURRENT: usize = 256;
+/// Maximum number of concurrent calls to a plain service.
+const MAX_PLAIN_CALLS: usize = 256;
 
 impl AgentCore {
-    /// Starts every run that may start now.
+    /// Starts or is_resumed every run that may proceed now.
     pub(super) fn schedule(&mut self, now: Tick) {
         if !self.is_ready() {
             return;
         }
-        self.serve_claims();
-        self.drop_hopeless(now);
+        self.grant_holds();
+        self.refuse_infeasible(now);
         if !self.backoff(now).is_zero() {
             return;
         }
         let waiting = self.runs.values().filter(|run| run.is_waiting());
-        self.share.settle(waiting.map(|run| &run.dispatch.account));
+        self.share.raise_floor(waiting.map(|run| &run.dispatch.account));
         while let Some(id) = self.pick(now) {
             if !self.advance(&id, now) {
                 return;
@@ -42,12 +42,12 @@
         }
     }
 
-    /// Refuses what waits and could not be done in its time any more, so that
-    /// the engine works on what can.
-    fn drop_hopeless(&mut self, now: Tick) {
+    /// Refuses queued runs that can no longer finish before their deadline, so
+    /// that the engine works on those that can.
+    fn refuse_infeasible(&mut self, now: Tick) {
         let start = now.max(self.backoff_until);
-        let hopeless = self.runs.iter().filter(|(_, run)| {
-            // How long a plain call works is not known.
+        let infeasible = self.runs.iter().filter(|(_, run)| {
+            // The duration of a plain service's call is not known.
             let work = if run.is_plain() {
                 Duration::ZERO
             } else {
@@ -56,9 +56,14 @@
             };
             run.state == RunState::Queued && start + work > run.deadline
         });
-        let hopeless: Vec<_> = hopeless.map(|(id, _)| id.clone()).collect();
-        for id in hopeless {
-            self.give_up_as(&id, Refusal::TooLate, "it could not be done in its time", now);
+        let infeasible: Vec<_> = infeasible.map(|(id, _)| id.clone()).collect();
+        for id in infeasible {
+            self.abort_queued_as(
+                &id,
+                Refusal::TooLate,
+                "it could not finish before its deadline",
+                now,
+            );
         }
     }
 
@@ -72,7 +77,7 @@
         let mut is_blocked = false;
         for (_, id, run) in ranked {
             if run.is_plain() {
-                return (at_target < PLAIN_CONCURRENT).then(|| id.clone());
+                return (at_target < MAX_PLAIN_CALLS).then(|| id.clone());
             }
             let piece = self.next_piece(run);
             if in_prefill > 0 && in_prefill + piece > self.tuning.prefill_tokens {
@@ -91,18 +96,19 @@
             if has_room && self.leases.is_held(id) {
                 return Some(id.clone());
             }
-            let fits = run.local_tokens() <= self.leases.free() && !self.claim_is_due(now);
+            let fits = run.local_tokens() <= self.leases.free() && !self.is_hold_overdue(now);
             if has_room && fits {
                 return Some(id.clone());
             }
-            // Nothing that needs memory passes one that has waited long. Runs
-            // that have theirs go on, or they would never give it back.
-            is_blocked |= now.since(run.since) > self.tuning.patience;
+            // No run that needs memory overtakes one that has waited for longer
+            // than the bypass window. Runs that already hold theirs continue, or
+            // they would never release it.
+            is_blocked |= now.since(run.phase_start) > self.tuning.bypass_window;
         }
         None
     }
 
-    /// Lets a run go on, false where its memory could not be taken.
+    /// Starts or resumes a run. Returns `false` if its memory could not be leased.
     fn advance(&mut self, id: &AttemptId, now: Tick) -> bool {
         let in_prefill: u64 = self.runs.values().map(Run::in_prefill).sum();
         let Some(run) = self.runs.get(id) else { return false };
@@ -110,10 +116,10 @@
         let is_last = piece >= run.left_to_prefill();
         let granted = run.prefilled + piece;
         let limit = (!is_last).then_some(granted);
-        let resumes = run.state == RunState::Paused;
+        let is_resumed = run.state == RunState::Paused;
         let work = self.rates.prefill(piece);
         let (account, weight) = (run.dispatch.account.clone(), run.dispatch.weight);
-        if !resumes && !self.take_lease(id) {
+        if !is_resumed && !self.take_lease(id) {
             return false;
         }
         self.share.charge(&account, weight, work);
@@ -121,11 +127,11 @@
             return false;
         };
         run.granted = granted;
-        run.alone = in_prefill == 0;
+        run.prefills_alone = in_prefill == 0;
         run.state = RunState::Prefilling;
-        run.since = now;
-        if resumes {
-            self.out.push(Effect::Resume(id.clone(), limit));
+        run.phase_start = now;
+        if is_resumed {
+            self.effects.push(Effect::Resume(id.clone(), limit));
             return true;
         }
         run.started = Some(now);
@@ -142,21 +148,21 @@
         };
         let waited = now.since(run.arrived);
         let detail = format!("waited {} ms, cached {} tokens", waited.as_millis(), run.cached);
-        let marks = run.dispatch.marks.clone();
-        self.cache.note_run(id, &marks);
-        self.out.push(Effect::Start(Box::new(start)));
+        let hashes = run.dispatch.marks.clone();
+        self.cache.track_run(id, &hashes);
+        self.effects.push(Effect::Start(Box::new(start)));
         self.record(id, "started", detail);
         self.counts.started += 1;
         true
     }
 
-    /// Returns true where a group has waited long enough for this memory.
-    fn claim_is_due(&self, now: Tick) -> bool {
-        let oldest = self.claims.first();
-        oldest.is_some_and(|claim| now.since(claim.since) > self.tuning.claim_patience)
+    /// Returns `true` if the oldest pending hold has waited for longer than its bypass window.
+    fn is_hold_overdue(&self, now: Tick) -> bool {
+        let oldest = self.pending_holds.first();
+        oldest.is_some_and(|hold| now.since(hold.requested_at) > self.tuning.hold_bypass_window)
     }
 
-    /// Takes the run's memory; a plain service has none to lease.
+    /// Leases the memory of a run; a plain service has none to lease.
     fn take_lease(&mut self, id: &AttemptId) -> bool {
         let Some(run) = self.runs.get(id) else {
             return false;
@@ -181,33 +187,33 @@
         run.left_to_prefill() > self.tuning.piece_tokens
     }
 
-    /// Long runs whose prompt is being prefilled.
+    /// Returns the number of runs that are prefilling a long prompt.
     fn long_count(&self) -> usize {
-        let in_prompt = self.runs.values().filter(|run| {
-            let is_begun = matches!(run.state, RunState::Prefilling | RunState::Paused);
+        let long_runs = self.runs.values().filter(|run| {
+            let has_begun = matches!(run.state, RunState::Prefilling | RunState::Paused);
             let uncached = run.dispatch.need.prompt - run.cached;
-            is_begun && uncached > self.tuning.piece_tokens
+            has_begun && uncached > self.tuning.piece_tokens
         });
-        in_prompt.count()
+        long_runs.count()
     }
 
     fn rank(&self, run: &Run, now: Tick) -> Rank {
         let lag = self.share.lag(&run.dispatch.account);
-        let length = self.rates.prefill(run.left_to_prefill()).mul_f64(LENGTH_SHARE);
+        let length = self.rates.prefill(run.left_to_prefill()).mul_f64(LENGTH_PENALTY_FACTOR);
         let penalty = lag + length.min(MAX_LENGTH_PENALTY);
-        let rank = to_rank(run.dispatch.urgency, penalty, run.since, now);
+        let rank = to_rank(run.dispatch.urgency, penalty, run.phase_start, now);
         if run.state != RunState::Paused {
             return rank;
         }
-        // A long prompt spreads what time it has to spare over its pieces.
+        // A long prompt distributes its spare time over its remaining pieces.
         let left = run.left_to_prefill();
-        let slack = run.deadline.since(now).saturating_sub(self.rates.prefill(left) * 2);
+        let spare_time = run.deadline.since(now).saturating_sub(self.rates.prefill(left) * 2);
         let pieces = left.div_ceil(self.tuning.piece_tokens).max(1);
-        let spare = slack.as_micros() as i64 / pieces as i64;
-        rank.min(spare - now.since(run.since).as_micros() as i64)
+        let spare_per_piece = spare_time.as_micros() as i64 / pieces as i64;
+        rank.min(spare_per_piece - now.since(run.phase_start).as_micros() as i64)
     }
 
-    /// Predicts how long a new run would wait here.
+    /// Predicts how long a new run would wait at this target.
     pub(super) fn predict_wait(
         &self,
         local_tokens: u64,
@@ -215,15 +221,15 @@
         account: &str,
         now: Tick,
     ) -> Duration {
-        // An account that had more than its share is told of a longer wait, so
-        // that it is refused first.
-        let own = to_rank(urgency, self.share.lag(account), now, now);
+        // For an account that received more than its fair share the predicted
+        // wait is longer, so that its requests are refused first.
+        let own_rank = to_rank(urgency, self.share.lag(account), now, now);
         let ahead: u64 = self
             .runs
             .values()
             .map(|run| match run.state {
                 RunState::Prefilling => run.in_prefill(),
-                RunState::Receiving | RunState::Queued if self.rank(run, now) <= own => {
+                RunState::Receiving | RunState::Queued if self.rank(run, now) <= own_rank => {
                     self.next_piece(run)
                 }
                 RunState::Paused => self.next_piece(run),
@@ -233,29 +239,30 @@
         self.rates.prefill(ahead).max(self.predict_memory(local_tokens, now))
     }
 
-    /// Predicts when so many tokens of memory are free.
+    /// Predicts the time until `tokens` of memory are free.
     fn predict_memory(&self, tokens: u64, now: Tick) -> Duration {
         let queued = self.runs.values().filter(|run| run.state == RunState::Queued);
-        let claimed: u64 = queued.map(Run::local_tokens).sum();
-        let claimed = claimed + self.claims.iter().map(|claim| claim.tokens).sum::<u64>();
-        let mut free = self.leases.free() as i64 - claimed as i64;
+        let demanded: u64 = queued.map(Run::local_tokens).sum();
+        let demanded = demanded + self.pending_holds.iter().map(|hold| hold.tokens).sum::<u64>();
+        let mut free = self.leases.free() as i64 - demanded as i64;
         if free >= tokens as i64 {
             return Duration::ZERO;
         }
-        let mut ends: Vec<_> = self.runs.values().filter(|run| run.is_at_target()).collect();
-        ends.sort_by_key(|run| self.time_to_end(run, now));
-        for run in ends {
+        let mut running: Vec<_> = self.runs.values().filter(|run| run.is_at_target()).collect();
+        running.sort_by_key(|run| self.time_to_end(run, now));
+        for run in running {
             free += run.local_tokens() as i64;
             if free >= tokens as i64 {
                 return self.time_to_end(run, now);
             }
         }
-        // More than the engine has: a group asks each member for its part.
+        // The need exceeds the engine's memory: the run will be sharded, and each
+        // engine is asked for its shard only.
         Duration::ZERO
     }
 
     fn time_to_end(&self, run: &Run, now: Tick) -> Duration {
-        let answer = run.dispatch.need.answer.saturating_sub(run.parts);
+        let answer = run.dispatch.need.answer.saturating_sub(run.answer_chunks);
         let left = self.rates.prefill(run.left_to_prefill()) + self.rates.decode(answer);
         left.min(run.deadline.since(now))
     }
--- a/src/agent/target.rs
+++ b/src/agent/target.rs
@@ -1,4 +1,4 @@
-//! What the target does: it comes, it goes, and its runs go on.
+//! Events of the target: it becomes ready or is lost, and its runs progress.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 
 use super::core::{AgentCore, Timer};
 use super::event::{Effect, EngineFacts, EngineHolding, RunEvent, RunUsage};
-use super::lease::LeaseBook;
+use super::lease::LeaseTable;
 use super::ledger::Outcome;
 use super::run::RunState;
 use crate::config::Urgency;
@@ -17,18 +17,19 @@
 use crate::verdict::Verdict;
 use crate::wire::{Completion, ToEntry};
 
-/// Share of the engine's memory that is leased. The rest is for estimates of
-/// token counts that turn out too low.
-const LEASED_SHARE: f64 = 0.95;
+/// Fraction of the engine's memory that may be leased. The rest absorbs
+/// estimates of token counts that turn out too low.
+const LEASABLE_FRACTION: f64 = 0.95;
 
 impl AgentCore {
     pub(super) fn on_target_ready(&mut self, facts: EngineFacts) {
-        let held = self.leases.len();
-        self.invariant.expect(held == 0, "a target is reset only when no lease is held");
-        self.leases = LeaseBook::new((facts.capacity as f64 * LEASED_SHARE) as u64);
+        let lease_count = self.leases.len();
+        self.invariant
+            .expect(lease_count == 0, "a target becomes ready only while no lease is held");
+        self.leases = LeaseTable::new((facts.capacity as f64 * LEASABLE_FRACTION) as u64);
         self.cache.clear();
         self.facts = Some(facts);
-        // A new life of the target owes nothing of what the last one wished.
+        // The back-off was asked for by the previous instance of the target.
         self.backoff_until = Tick::default();
     }
 
@@ -46,25 +47,25 @@
                 self.send(Some(conn), ToEntry::NotHeld(id.key));
             }
         }
-        self.unreserving.clear();
-        for claim in std::mem::take(&mut self.claims) {
-            self.send(Some(claim.conn), ToEntry::NotHeld(claim.id.key));
+        self.releasing.clear();
+        for hold in std::mem::take(&mut self.pending_holds) {
+            self.send(Some(hold.conn), ToEntry::NotHeld(hold.id.key));
         }
         let conns: Vec<_> = self.peers.keys().copied().collect();
         for conn in conns {
             self.send(Some(conn), ToEntry::TargetLost);
         }
-        self.out.push(Effect::Reset);
+        self.effects.push(Effect::Reset);
     }
 
     pub(super) fn lose_run(&mut self, id: &AttemptId, now: Tick) {
         let Some(run) = self.runs.get(id) else { return };
         if !run.is_at_target() {
-            self.give_up(id, "the target was lost", now);
+            self.abort_queued(id, "the target was lost", now);
             return;
         }
         if run.state != RunState::Cancelling {
-            self.fail(id, Verdict::MayHaveRun, "the target was lost", now);
+            self.report_failure(id, Verdict::MayHaveRun, "the target was lost", now);
         }
         self.runs.remove(id);
     }
@@ -73,12 +74,12 @@
         let Some(run) = self.runs.get_mut(id) else {
             return;
         };
-        if let RunEvent::BackOff(span) = event {
-            self.on_backoff(span, now);
+        if let RunEvent::BackOff(duration) = event {
+            self.on_backoff(duration, now);
             return;
         }
         if run.state == RunState::Cancelling {
-            // A run that came to its end by itself holds nothing either.
+            // A run that completed before the cancel holds nothing either.
             if matches!(event, RunEvent::Cancelled | RunEvent::Done(_)) {
                 self.drop_run(id);
             }
@@ -98,23 +99,23 @@
             RunEvent::Paused(tokens) => self.on_paused(id, tokens, now),
             RunEvent::Done(usage) => self.on_done(id, usage, now),
             RunEvent::Failed(Verdict::NotRun, reason) => {
-                self.fail(id, Verdict::NotRun, &reason, now);
+                self.report_failure(id, Verdict::NotRun, &reason, now);
                 self.drop_run(id);
             }
             RunEvent::Failed(verdict, reason) => {
-                self.fail(id, verdict, &reason, now);
-                self.let_go(id);
+                self.report_failure(id, verdict, &reason, now);
+                self.cancel_at_target(id);
             }
             RunEvent::Cancelled => {
-                self.fail(id, Verdict::MayHaveRun, "the target ended it", now);
+                self.report_failure(id, Verdict::MayHaveRun, "the target ended it", now);
                 self.drop_run(id);
             }
         }
     }
 
-    /// The target wants nothing more for a while: nothing is started there until then.
-    fn on_backoff(&mut self, span: Duration, now: Tick) {
-        self.backoff_until = self.backoff_until.max(now + span);
+    /// Starts a back-off: no run is started at the target until it ends.
+    fn on_backoff(&mut self, duration: Duration, now: Tick) {
+        self.backoff_until = self.backoff_until.max(now + duration);
         self.timers.subscribe(self.backoff_until, Timer::BackOff);
     }
 
@@ -122,17 +123,17 @@
         let Some(run) = self.runs.get_mut(id) else {
             return;
         };
-        if run.first.is_none() {
+        if run.first_output.is_none() {
             let tokens = run.left_to_prefill();
-            if run.alone && run.prefilled > run.cached {
-                self.rates.learn_prefill(tokens, now.since(run.since));
+            if run.prefills_alone && run.prefilled > run.cached {
+                self.rates.observe_prefill(tokens, now.since(run.phase_start));
             }
-            run.first = Some(now);
+            run.first_output = Some(now);
             run.prefilled = run.dispatch.need.prompt;
             run.state = RunState::Decoding;
         }
         let offset = run.output.len() as u64;
-        run.parts += 1;
+        run.answer_chunks += 1;
         run.output.extend_from_slice(&text);
         let conn = run.conn;
         self.send(conn, ToEntry::Chunk { attempt: id.key, offset, text });
@@ -142,26 +143,26 @@
         let Some(run) = self.runs.get_mut(id) else {
             return;
         };
-        let done = tokens.saturating_sub(run.prefilled);
-        if run.alone {
-            self.rates.learn_prefill(done, now.since(run.since));
+        let prefilled = tokens.saturating_sub(run.prefilled);
+        if run.prefills_alone {
+            self.rates.observe_prefill(prefilled, now.since(run.phase_start));
         }
         run.prefilled = tokens.min(run.dispatch.need.prompt);
         run.state = RunState::Paused;
-        run.since = now;
+        run.phase_start = now;
     }
 
     pub(super) fn on_done(&mut self, id: &AttemptId, usage: RunUsage, now: Tick) {
         let Some(run) = self.runs.get_mut(id) else {
             return;
         };
-        let first = run.first.unwrap_or(now);
+        let first = run.first_output.unwrap_or(now);
         let wait = self.predict_wait(0, Urgency::Interactive, "", now);
         let Some(run) = self.runs.get_mut(id) else {
             return;
         };
-        self.rates.learn_decode(usage.answer_tokens, now.since(first));
-        self.rates.learn_answer(usage.answer_tokens);
+        self.rates.observe_decode(usage.answer_tokens, now.since(first));
+        self.rates.observe_answer_length(usage.answer_tokens);
         let output = std::mem::take(&mut run.output).freeze();
         let waited = run.started.unwrap_or(now).since(run.arrived);
         let completion = Completion {
@@ -177,7 +178,7 @@
         let until = run.deadline.max(now) + self.tuning.ledger_margin;
         let head = run.head.take();
         self.send(conn, ToEntry::Done(id.key, completion.clone()));
-        self.settle(id.clone(), Outcome::Done { head, output, completion }, until);
+        self.store_outcome(id.clone(), Outcome::Done { head, output, completion }, until);
         self.record(id, "done", String::new());
         self.counts.done += 1;
         self.drop_run(id);
@@ -188,18 +189,19 @@
         self.leases.release(id);
     }
 
-    /// Ends what the engine holds for nobody: calls of an earlier life of this
-    /// agent can reach the engine after it was reset.
+    /// Cancels orphaned runs and reservations at the engine. They arise because
+    /// calls of an earlier incarnation of this agent can reach the engine after
+    /// it was reset.
     pub(super) fn on_holdings(&mut self, holdings: &[EngineHolding]) {
         let leased = self.leases.all();
         let known: BTreeSet<String> =
             self.runs.keys().chain(&leased).map(AttemptId::to_string).collect();
-        for run in holdings.iter().filter(|run| !known.contains(&run.id)) {
+        for orphan in holdings.iter().filter(|holding| !known.contains(&holding.id)) {
             if is_on(Mutant::StraysOff) {
                 return;
             }
-            self.counts.strays += 1;
-            self.out.push(Effect::CancelStray(run.id.clone()));
+            self.counts.orphans += 1;
+            self.effects.push(Effect::CancelStray(orphan.id.clone()));
         }
     }
 }
--- a/src/invariant.rs
+++ b/src/invariant.rs
@@ -1,6 +1,6 @@
-//! Promises that the cores check about themselves while they run.
+//! Invariants that the cores check at run time.
 
-/// Counts broken promises; stops the program at the first one where asked to.
+/// Counts broken invariants; a strict check panics at the first one.
 #[derive(Debug, Default)]
 pub struct InvariantCheck {
     strict: bool,
@@ -8,26 +8,26 @@
 }
 
 impl InvariantCheck {
-    /// A check that panics where `strict`, and only counts otherwise.
+    /// Creates a check that panics on a broken invariant if `strict`, and only counts otherwise.
     #[must_use]
     pub fn new(strict: bool) -> Self {
         InvariantCheck { strict, broken: 0 }
     }
 
-    /// Notes whether a promise holds.
+    /// Checks that an invariant holds, and counts it as broken if not.
     ///
     /// # Panics
     ///
-    /// If the promise is broken and the check is strict.
-    pub fn expect(&mut self, holds: bool, promise: &str) {
+    /// Panics if the invariant is broken and the check is strict.
+    pub fn expect(&mut self, holds: bool, invariant: &str) {
         if holds {
             return;
         }
         self.broken += 1;
-        assert!(!self.strict, "broken invariant: {promise}");
+        assert!(!self.strict, "broken invariant: {invariant}");
     }
 
-    /// How many promises were broken so far.
+    /// Returns the number of broken invariants so far.
     #[must_use]
     pub fn broken(&self) -> u64 {
         self.broken
--- a/src/mutant.rs
+++ b/src/mutant.rs
@@ -1,36 +1,37 @@
-//! Faults that tests put into the cores, one at a time, to show that a broken
-//! promise is caught.
+//! Mutation testing: faults that tests inject into the cores, one at a time, to
+//! show that the checks detect a broken invariant.
 //!
-//! Without the feature `mutants` no fault can be switched on, and the checks
-//! for them compile to nothing.
+//! Without the feature `mutants` no fault can be enabled, and the checks for
+//! them compile to nothing.
 
-/// A fault of a core.
+/// A fault that can be injected into a core.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutant {
-    /// Agents forget what became of attempts.
+    /// Agents do not store the outcomes of attempts.
     LedgerOff,
-    /// Agents do not refuse an attempt that was asked after before it came.
+    /// Agents do not store tombstones, so that an attempt resumed or cancelled before its
+    /// dispatch arrived is not refused.
     TombstoneOff,
-    /// Leases of groups do not expire.
+    /// Holds do not expire.
     ExpiryOff,
-    /// Agents do not end runs that nobody waits for, nor those cancelled.
+    /// Agents end neither cancelled runs nor those of disconnected entries.
     CancelOff,
-    /// Runs that no attempt stands for are left at the engine.
+    /// Agents do not cancel orphaned runs at the engine.
     StraysOff,
-    /// Entries join parts of answers without looking at their offset.
+    /// Entries join chunks of answers without regard to their offsets.
     OffsetOff,
-    /// Entries try again whatever the verdict.
+    /// Entries retry regardless of the verdict.
     VerdictOff,
-    /// Agents take new work while they leave.
+    /// Agents accept new work while they drain.
     LeavingOff,
-    /// Entries let requests run over their time limit.
+    /// Entries do not enforce the time limits of requests.
     DeadlineOff,
-    /// Entries go back to an older configuration.
+    /// Entries accept an older configuration.
     RevertOn,
 }
 
 impl Mutant {
-    /// Every fault there is.
+    /// All faults.
     pub const ALL: [Mutant; 10] = [
         Mutant::LedgerOff,
         Mutant::TombstoneOff,
@@ -50,19 +51,19 @@
     static ACTIVE: std::cell::Cell<Option<Mutant>> = const { std::cell::Cell::new(None) };
 }
 
-/// Switches a fault on for this thread, or all off.
+/// Enables a fault for this thread; `None` disables all.
 #[cfg(feature = "mutants")]
 pub fn set_mutant(mutant: Option<Mutant>) {
     ACTIVE.with(|active| active.set(mutant));
 }
 
-/// Returns true where this fault is on.
+/// Returns `true` if this fault is enabled.
 #[cfg(feature = "mutants")]
 pub(crate) fn is_on(mutant: Mutant) -> bool {
     ACTIVE.with(|active| active.get() == Some(mutant))
 }
 
-/// Returns true where this fault is on: never, in this build.
+/// Returns `true` if this fault is enabled: never in this build.
 #[cfg(not(feature = "mutants"))]
 pub(crate) const fn is_on(_: Mutant) -> bool {
     false
--- a/src/prefix.rs
+++ b/src/prefix.rs
@@ -1,63 +1,63 @@
-//! Marks of a prompt's prefixes, by which agents know what is cached.
+//! Hashes of a prompt's prefixes, by which agents estimate how much of it is cached.
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Bytes of prompt text that one block of the prefix cache stands for.
+/// Bytes of prompt text per block of the prefix cache.
 pub const BLOCK_BYTES: usize = 4096;
 
-/// Blocks that each have a mark of their own, before marks thin out.
+/// Number of leading blocks that each end a hashed prefix; later hashes are sparser.
 const DENSE_BLOCKS: usize = 8;
 
-/// Growth of the distance from mark to mark after the dense ones.
-const GROWTH: f64 = 1.25;
+/// Ratio of the lengths of successive hashed prefixes after the dense ones.
+const LENGTH_GROWTH: f64 = 1.25;
 
-/// Hash of a prompt's first blocks, chained and salted per client account.
+/// Chained hash of a prompt's first blocks, salted per client account.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PrefixMark(
-    /// How many blocks the hash covers.
+    /// Number of blocks that the hash covers.
     pub u32,
     /// The hash.
     pub u64,
 );
 
-/// Marks of a prompt, from short prefixes to long ones.
+/// Prefix hashes of a prompt, from short prefixes to long ones.
 ///
-/// A short prompt has a mark for every block, a long one about thirty in
-/// all, so that a probe stays small.
+/// A short prompt has a hash for every block, a long one about thirty in all,
+/// so that a probe stays small.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct PrefixMarks(pub Vec<PrefixMark>);
 
-/// Makes marks of a prompt as its text arrives.
+/// Computes the prefix hashes of a prompt incrementally.
 #[derive(Debug)]
 pub struct MarkBuilder {
     chain: u64,
     blocks: u32,
-    next: u32,
+    next_hashed: u32,
     pending: Vec<u8>,
-    marks: Vec<PrefixMark>,
+    hashes: Vec<PrefixMark>,
 }
 
 impl MarkBuilder {
-    /// Starts with the salt of a client account.
+    /// Creates a hasher salted with `salt`, the name of a client account.
     #[must_use]
     pub fn new(salt: &str) -> Self {
         MarkBuilder {
             chain: xxh3_64_with_seed(salt.as_bytes(), 0),
             blocks: 0,
-            next: 1,
+            next_hashed: 1,
             pending: Vec::new(),
-            marks: Vec::new(),
+            hashes: Vec::new(),
         }
     }
 
-    /// Takes more of the prompt.
+    /// Appends text of the prompt.
     pub fn update(&mut self, mut text: &[u8]) {
         if !self.pending.is_empty() {
-            let wanted = (BLOCK_BYTES - self.pending.len()).min(text.len());
-            self.pending.extend_from_slice(&text[..wanted]);
-            text = &text[wanted..];
+            let missing = (BLOCK_BYTES - self.pending.len()).min(text.len());
+            self.pending.extend_from_slice(&text[..missing]);
+            text = &text[missing..];
             if self.pending.len() < BLOCK_BYTES {
                 return;
             }
@@ -74,29 +74,29 @@
     fn push_block(&mut self, block: &[u8]) {
         self.chain = xxh3_64_with_seed(block, self.chain);
         self.blocks += 1;
-        if self.blocks < self.next {
+        if self.blocks < self.next_hashed {
             return;
         }
-        self.marks.push(PrefixMark(self.blocks, self.chain));
-        self.next = if (self.blocks as usize) < DENSE_BLOCKS {
+        self.hashes.push(PrefixMark(self.blocks, self.chain));
+        self.next_hashed = if (self.blocks as usize) < DENSE_BLOCKS {
             self.blocks + 1
         } else {
-            (f64::from(self.blocks) * GROWTH) as u32
+            (f64::from(self.blocks) * LENGTH_GROWTH) as u32
         };
     }
 
-    /// Ends the prompt. An incomplete last block has no mark.
+    /// Returns the hashes. An incomplete last block is not hashed.
     #[must_use]
     pub fn into_marks(self) -> PrefixMarks {
-        PrefixMarks(self.marks)
+        PrefixMarks(self.hashes)
     }
 }
 
 impl PrefixMarks {
-    /// The hash of the prompt's first block, by which prompts with a common
-    /// beginning meet at the same targets.
+    /// Returns the hash of the prompt's first block, which routes prompts with a
+    /// common prefix to the same targets.
     #[must_use]
     pub fn peek_first(&self) -> Option<u64> {
-        self.0.first().map(|mark| mark.1)
+        self.0.first().map(|prefix| prefix.1)
     }
 }
--- a/tests/regression/agent_fixture.rs
+++ b/tests/regression/agent_fixture.rs
@@ -1,4 +1,4 @@
-//! An agent's core with a ready engine and one entry.
+//! Fixture: an agent's core with a ready engine and one connected entry.
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
 }
 
 impl AgentFixture {
-    /// An agent of an engine with 1,000 tokens to lease.
+    /// Creates an agent whose engine has about 1,000 tokens to lease.
     pub fn new() -> Self {
         AgentFixture::with_tuning(&AgentTuning::default())
     }
@@ -41,13 +41,13 @@
         self.core.on_event(self.now, event)
     }
 
-    pub fn tell(&mut self, message: ToAgent) -> Vec<Effect> {
+    pub fn send(&mut self, message: ToAgent) -> Vec<Effect> {
         self.feed(Event::Peer(CONN, message))
     }
 
-    pub fn hold(&mut self, key: AttemptKey, tokens: u64, span: Duration) -> Vec<Effect> {
-        let expires_us = span.as_micros() as u64;
-        self.tell(ToAgent::Hold(Hold { attempt: key, tokens, expires_us, is_renewal: false }))
+    pub fn hold(&mut self, key: AttemptKey, tokens: u64, time_to_live: Duration) -> Vec<Effect> {
+        let expires_us = time_to_live.as_micros() as u64;
+        self.send(ToAgent::Hold(Hold { attempt: key, tokens, expires_us, is_renewal: false }))
     }
 }
 
@@ -59,7 +59,7 @@
     AttemptId { owner: owner(), key }
 }
 
-/// A dispatch without a body: it may start as soon as it is taken.
+/// Creates a dispatch without a body, which can start as soon as it is accepted.
 pub fn dispatch(key: AttemptKey, prompt: u64, shards: Vec<Shard>) -> Dispatch {
     Dispatch {
         attempt: key,
--- a/tests/regression/engine_that_asks_for_a_pause.rs
+++ b/tests/regression/engine_backoff.rs
@@ -1,5 +1,5 @@
-//! An engine that was full answered 503 and asked for nothing more for some seconds. The agent
-//! took the answer for one run's failure and started the next run at once.
+//! An overloaded engine answered 503 with a `Retry-After` of some seconds. The agent treated the answer
+//! as the failure of one run only and started the next run at once.
 
 use std::time::Duration;
 
@@ -9,18 +9,18 @@
 
 use crate::agent_fixture::{AgentFixture, dispatch, id_of, is_start};
 
-const PAUSE: Duration = Duration::from_secs(3);
+const BACKOFF: Duration = Duration::from_secs(3);
 
-fn message(number: u64) -> ToAgent {
+fn dispatch_message(number: u64) -> ToAgent {
     ToAgent::Dispatch(dispatch(AttemptKey(number, 1), 100, Vec::new()))
 }
 
-/// An agent whose engine has turned one run away and asked for a pause.
-fn paused_agent() -> AgentFixture {
+/// Creates an agent whose engine has refused one run and asked for a back-off.
+fn agent_in_backoff() -> AgentFixture {
     let mut agent = AgentFixture::new();
-    assert!(agent.tell(message(1)).iter().any(is_start));
+    assert!(agent.send(dispatch_message(1)).iter().any(is_start));
     let id = id_of(AttemptKey(1, 1));
-    agent.feed(Event::Run(id.clone(), RunEvent::BackOff(PAUSE)));
+    agent.feed(Event::Run(id.clone(), RunEvent::BackOff(BACKOFF)));
     let refused = RunEvent::Failed(shalelane::Verdict::NotRun, "the engine answered 503".into());
     agent.feed(Event::Run(id, refused));
     agent
@@ -34,40 +34,43 @@
 }
 
 #[test]
-fn nothing_new_is_taken_until_the_pause_is_over() {
-    let mut agent = paused_agent();
-    let (refusal, retry_us) = refusal_of(&agent.tell(message(2))).expect("a refusal");
+fn new_runs_are_refused_until_the_backoff_ends() {
+    let mut agent = agent_in_backoff();
+    let (refusal, retry_us) = refusal_of(&agent.send(dispatch_message(2))).expect("a refusal");
     assert_eq!(refusal, Refusal::Busy);
-    let told = Duration::from_micros(retry_us);
-    assert!(told > PAUSE / 2 && told <= PAUSE, "{told:?}");
-    agent.now = agent.now + PAUSE;
-    assert!(agent.tell(message(3)).iter().any(is_start));
+    let retry_delay = Duration::from_micros(retry_us);
+    assert!(retry_delay > BACKOFF / 2 && retry_delay <= BACKOFF, "{retry_delay:?}");
+    agent.now = agent.now + BACKOFF;
+    assert!(agent.send(dispatch_message(3)).iter().any(is_start));
 }
 
 #[test]
-fn what_waits_is_started_after_the_pause_or_refused_at_once() {
+fn queued_runs_start_after_the_backoff_or_are_refused_at_once() {
     let mut agent = AgentFixture::new();
     let long = ToAgent::Dispatch(dispatch(AttemptKey(1, 1), 900, Vec::new()));
-    assert!(agent.tell(long).iter().any(is_start));
-    assert!(!agent.tell(message(2)).iter().any(is_start), "no memory yet");
+    assert!(agent.send(long).iter().any(is_start));
+    assert!(!agent.send(dispatch_message(2)).iter().any(is_start), "the engine's memory is in use");
     let short = shalelane::wire::Dispatch {
-        remaining_us: (PAUSE / 2).as_micros() as u64,
+        remaining_us: (BACKOFF / 2).as_micros() as u64,
         ..dispatch(AttemptKey(3, 1), 100, Vec::new())
     };
-    agent.tell(ToAgent::Dispatch(short));
+    agent.send(ToAgent::Dispatch(short));
     let id = id_of(AttemptKey(1, 1));
-    let effects = agent.feed(Event::Run(id.clone(), RunEvent::BackOff(PAUSE)));
-    assert!(refusal_of(&effects).is_some(), "its time is up before the pause is over");
+    let effects = agent.feed(Event::Run(id.clone(), RunEvent::BackOff(BACKOFF)));
+    assert!(
+        refusal_of(&effects).is_some(),
+        "the short run's deadline is before the end of the back-off"
+    );
     let done = RunEvent::Done(shalelane::agent::RunUsage::default());
     assert!(!agent.feed(Event::Run(id, done)).iter().any(is_start));
-    assert!(agent.core.next_wake().is_some_and(|wake| wake <= agent.now + PAUSE));
-    agent.now = agent.now + PAUSE;
+    assert!(agent.core.next_wake().is_some_and(|wake| wake <= agent.now + BACKOFF));
+    agent.now = agent.now + BACKOFF;
     assert!(agent.feed(Event::Wake).iter().any(is_start));
 }
 
 #[test]
-fn a_new_life_of_the_engine_owes_no_pause() {
-    let mut agent = paused_agent();
+fn a_restarted_engine_has_no_backoff() {
+    let mut agent = agent_in_backoff();
     agent.feed(Event::TargetLost);
     agent.feed(Event::TargetReady(EngineFacts {
         capacity: 1_060,
@@ -75,5 +78,5 @@
         models: vec!["model".into()],
         ..EngineFacts::default()
     }));
-    assert!(agent.tell(message(2)).iter().any(is_start));
+    assert!(agent.send(dispatch_message(2)).iter().any(is_start));
 }
--- a/tests/regression/release_before_start.rs
+++ b/tests/regression/hold_expired_before_start.rs
@@ -1,5 +1,5 @@
-//! A hold that expired while its agent stood still was being given back when
-//! the run that needed it started: the run went on without a lease.
+//! A hold expired while its agent was stalled. The run that needed the hold started
+//! while the memory was being released, and continued without a lease.
 
 use std::time::Duration;
 
@@ -15,10 +15,10 @@
     let key = AttemptKey(1, 1);
     agent.hold(key, 500, Duration::from_secs(10));
     agent.feed(Event::Reserved(id_of(key), true));
-    // The agent stands still past the expiry, then finds the dispatch first.
+    // The agent is stalled beyond the expiry, then processes the dispatch first.
     agent.now = agent.now + Duration::from_secs(15);
     let shards = vec![Shard { engine: "127.0.0.1:2".into(), tokens: 500 }];
-    let effects = agent.tell(ToAgent::Dispatch(dispatch(key, 990, shards)));
+    let effects = agent.send(ToAgent::Dispatch(dispatch(key, 990, shards)));
     assert!(effects.iter().any(|effect| matches!(effect, Effect::Unreserve(_))));
     assert!(!effects.iter().any(is_start));
     assert!(effects.iter().any(is_refusal));
@@ -27,10 +27,10 @@
 }
 
 #[test]
-fn a_run_of_a_group_without_its_hold_is_refused() {
+fn a_sharded_run_without_a_hold_is_refused() {
     let mut agent = AgentFixture::new();
     let shards = vec![Shard { engine: "127.0.0.1:2".into(), tokens: 500 }];
-    let effects = agent.tell(ToAgent::Dispatch(dispatch(AttemptKey(2, 1), 990, shards)));
+    let effects = agent.send(ToAgent::Dispatch(dispatch(AttemptKey(2, 1), 990, shards)));
     assert!(effects.iter().any(is_refusal));
     assert!(!effects.iter().any(is_start));
 }
--- a/tests/regression/main.rs
+++ b/tests/regression/main.rs
@@ -1,11 +1,11 @@
-//! Past failures, a file for each.
+//! Regression tests, one file for each past failure.
 
 mod agent_fixture;
+mod attempt_name_in_path;
 mod cancel_overtakes_start;
-mod engine_that_asks_for_a_pause;
-mod name_with_slash;
-mod paused_behind_waiting;
-mod refused_dispatch_comes_again;
-mod release_before_start;
-mod requests_that_end_engines;
-mod stray_reservation;
+mod duplicate_of_refused_dispatch;
+mod engine_backoff;
+mod hold_expired_before_start;
+mod orphaned_reservation;
+mod paused_run_behind_queued_run;
+mod requests_that_crash_engines;
--- a/tests/regression/requests_that_end_engines.rs
+++ b/tests/regression/requests_that_crash_engines.rs
@@ -1,5 +1,5 @@
-//! A request ended each engine that ran it, and its caller sent it again and again. The entry
-//! forgot with each sending what it had done: one after the other, every engine ended.
+//! A request crashed each engine that ran it, and its caller repeated it. The entry kept no
+//! record of the crashes between the repetitions, so that every engine crashed in turn.
 
 use std::collections::HashSet;
 use std::rc::Rc;
@@ -16,17 +16,17 @@
 
 const ENGINES: usize = 8;
 
-/// Ends of engines from which on a request is known for what it does.
-const KNOWN_ENDS: usize = 3;
+/// Number of crashes after which a request is quarantined.
+const QUARANTINE_CRASHES: usize = 3;
 
-/// An entry whose engines end when they run a certain body.
+/// An entry whose engines crash when they run the body `CRASH`.
 struct CrashingFleet {
     core: EntryCore,
     policy: Rc<AccountPolicy>,
     now: Tick,
     next_number: u64,
-    up: HashSet<Arc<str>>,
-    ends: usize,
+    connected: HashSet<Arc<str>>,
+    crashes: usize,
     replies: Vec<(u64, Reply)>,
 }
 
@@ -42,8 +42,8 @@
             policy: Rc::new(policy),
             now: Tick(1),
             next_number: 0,
-            up: HashSet::new(),
-            ends: 0,
+            connected: HashSet::new(),
+            crashes: 0,
             replies: Vec::new(),
         };
         let hosts = (0..ENGINES).map(|number| HostRecord {
@@ -62,19 +62,19 @@
         self.now = self.now + Duration::from_micros(50);
         for effect in self.core.on_event(self.now, event) {
             match effect {
-                Effect::Send(target, message) => self.answer(&target, message),
+                Effect::Send(target, message) => self.answer_as_agent(&target, message),
                 Effect::Reply(number, reply) => self.replies.push((number, reply)),
                 _ => {}
             }
         }
     }
 
-    fn agent(&mut self, target: &Arc<str>, message: ToEntry) {
+    fn feed_from_agent(&mut self, target: &Arc<str>, message: ToEntry) {
         self.feed(Event::Agent(target.clone(), message));
     }
 
-    fn answer(&mut self, target: &Arc<str>, message: ToAgent) {
-        if self.up.insert(target.clone()) {
+    fn answer_as_agent(&mut self, target: &Arc<str>, message: ToAgent) {
+        if self.connected.insert(target.clone()) {
             self.feed(Event::AgentUp(target.clone(), Incarnation(1)));
         }
         match message {
@@ -89,24 +89,30 @@
                     capacity_tokens: 1_000_000,
                     config_version: ConfigVersion(1),
                 };
-                self.agent(target, ToEntry::ProbeAnswer(answer));
+                self.feed_from_agent(target, ToEntry::ProbeAnswer(answer));
             }
             ToAgent::Dispatch(dispatch) if dispatch.body_len == CRASH.len() as u64 => {
                 let (attempt, verdict) = (dispatch.attempt, Verdict::MayHaveRun);
-                self.ends += 1;
-                self.agent(target, ToEntry::Failed { attempt, verdict, reason: "broken".into() });
-                self.agent(target, ToEntry::TargetLost);
+                self.crashes += 1;
+                self.feed_from_agent(
+                    target,
+                    ToEntry::Failed { attempt, verdict, reason: "broken".into() },
+                );
+                self.feed_from_agent(target, ToEntry::TargetLost);
             }
             ToAgent::Dispatch(dispatch) => {
-                self.agent(target, ToEntry::Accepted(dispatch.attempt));
-                self.agent(target, ToEntry::Done(dispatch.attempt, Completion::default()));
+                self.feed_from_agent(target, ToEntry::Accepted(dispatch.attempt));
+                self.feed_from_agent(
+                    target,
+                    ToEntry::Done(dispatch.attempt, Completion::default()),
+                );
             }
             _ => {}
         }
     }
 
-    /// Sends a request and lets some time pass. Returns its last reply.
-    fn ask(&mut self, body: &'static str) -> Reply {
+    /// Sends a request and advances the time by about 500 ms. Returns its last reply.
+    fn request(&mut self, body: &'static str) -> Reply {
         self.next_number += 1;
         let number = self.next_number;
         self.feed(Event::Arrive(Box::new(Arrival {
@@ -124,36 +130,40 @@
             self.now = self.now + Duration::from_millis(5);
             self.feed(Event::Wake);
         }
-        let replies = self.replies.iter().filter(|(other, _)| *other == number);
+        let replies = self.replies.iter().filter(|(replied, _)| *replied == number);
         replies.last().expect("a reply").1.clone()
     }
 }
 
-/// Body of the request that ends engines.
+/// Body of the request that crashes engines.
 const CRASH: &str = "crash";
 
 #[test]
-fn a_request_that_ends_engines_is_held_back() {
+fn a_request_that_crashes_engines_is_quarantined() {
     let mut fleet = CrashingFleet::new();
-    for _ in 0..KNOWN_ENDS {
-        let Reply::Failed(failure) = fleet.ask(CRASH) else { panic!("it can not be answered") };
+    for _ in 0..QUARANTINE_CRASHES {
+        let Reply::Failed(failure) = fleet.request(CRASH) else {
+            panic!("a request that crashes its engine cannot succeed")
+        };
         assert_eq!(failure.code, FailureCode::TargetFailed);
     }
     for _ in 0..20 {
-        let Reply::Failed(failure) = fleet.ask(CRASH) else { panic!("it can not be answered") };
+        let Reply::Failed(failure) = fleet.request(CRASH) else {
+            panic!("a request that crashes its engine cannot succeed")
+        };
         assert_eq!((failure.code, failure.verdict), (FailureCode::HeldBack, Verdict::NotRun));
         assert!(failure.retry_after.is_some_and(|after| after > Duration::from_secs(500)));
     }
-    assert_eq!(fleet.ends, KNOWN_ENDS);
-    assert!(matches!(fleet.ask("another"), Reply::Done(_)), "others are served");
+    assert_eq!(fleet.crashes, QUARANTINE_CRASHES);
+    assert!(matches!(fleet.request("another"), Reply::Done(_)), "other requests are served");
 }
 
 #[test]
-fn requests_that_are_answered_are_not_held_back() {
+fn answered_requests_are_not_quarantined() {
     let mut fleet = CrashingFleet::new();
-    for _ in 0..2 * KNOWN_ENDS {
-        fleet.ask("served");
+    for _ in 0..2 * QUARANTINE_CRASHES {
+        fleet.request("served");
     }
-    assert_eq!(fleet.ends, 0);
-    assert!(matches!(fleet.ask("served"), Reply::Done(_)));
+    assert_eq!(fleet.crashes, 0);
+    assert!(matches!(fleet.request("served"), Reply::Done(_)));
 }
