--- a/src/agent/core.rs
+++ b/src/agent/core.rs
@@ -150,7 +150,7 @@
         self.runs.len()
     }
 
-    /// Returns the number of leased memory tokens.
+    /// Returns the leased memory, in tokens.
     #[must_use]
     pub fn leased_tokens(&self) -> u64 {
         self.leases.capacity() - self.leases.free()
@@ -287,7 +287,7 @@
         self.send(Some(conn), ToEntry::AccountAnswer { number: *number, wait_us });
     }
 
-    /// Remaining back-off that the target asked for.
+    /// Returns the remaining back-off that the target asked for.
     pub(super) fn backoff(&self, now: Tick) -> Duration {
         self.backoff_until.since(now)
     }
--- a/src/agent/daemon.rs
+++ b/src/agent/daemon.rs
@@ -143,6 +143,7 @@
 /// A call to the target that has not completed.
 struct TargetCall {
     task: AbortHandle,
+    /// Whether the engine has received the run, or cannot receive it any more.
     has_arrived: Rc<Cell<bool>>,
 }
 
--- a/src/agent/event.rs
+++ b/src/agent/event.rs
@@ -28,10 +28,10 @@
     pub models: Vec<Arc<str>>,
 }
 
-/// A run or memory reservation that the engine reports to hold.
+/// A run or memory reservation that the engine reports as held.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineHolding {
-    /// Name that an agent gave to it.
+    /// Identifier that an agent gave to it.
     pub id: String,
 }
 
@@ -88,7 +88,7 @@
     Unreserved(AttemptId),
     /// The engine's prefix cache changed.
     Cache(CacheEvent),
-    /// The runs and reservations that the engine reports to hold.
+    /// The engine reported the runs and reservations that it holds.
     EngineHoldings(Vec<EngineHolding>),
     /// A planned stop begins.
     Drain,
@@ -158,7 +158,8 @@
     pub piece_tokens: u64,
     /// Maximum number of long prompts whose pieces are prefilled in alternation.
     pub max_long: usize,
-    /// Maximum tokens in prefill at the engine at one time; a run may exceed it while no other is in prefill.
+    /// Maximum tokens in prefill at the engine at one time. A run may exceed it while no other
+    /// run is in prefill.
     pub prefill_tokens: u64,
     /// Maximum number of queued attempts.
     pub max_queue: usize,
--- a/src/agent/schedule.rs
+++ b/src/agent/schedule.rs
@@ -23,7 +23,7 @@
 const MAX_PLAIN_CALLS: usize = 256;
 
 impl AgentCore {
-    /// Starts or is_resumed every run that may proceed now.
+    /// Starts or resumes every run that may proceed now.
     pub(super) fn schedule(&mut self, now: Tick) {
         if !self.is_ready() {
             return;
--- a/tests/regression/engine_backoff.rs
+++ b/tests/regression/engine_backoff.rs
@@ -1,5 +1,5 @@
-//! An overloaded engine answered 503 with a `Retry-After` of some seconds. The agent treated the answer
-//! as the failure of one run only and started the next run at once.
+//! An overloaded engine answered 503 with a `Retry-After` of some seconds. The agent treated the
+//! answer as the failure of one run only and started the next run at once.
 
 use std::time::Duration;
 
