--- a/src/entry/admission.rs
+++ b/src/entry/admission.rs
@@ -1,56 +1,57 @@
-//! Letting requests in by the limits of their accounts: of the own share, or by an agent.
+//! Admission control: admits requests within the limits of their accounts, by the entry's own
+//! share of a limit or by an agent.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use super::account::LimitFault;
-use super::core::{EntryCore, Timer, refused};
+use super::core::{EntryCore, Timer, not_run_failure};
 use super::event::{Arrival, Effect, FailureCode, Reply};
 use crate::account_gate::AccountShare;
 use crate::time::Tick;
 use crate::wire::{AccountAsk, ToAgent, TokenNeed};
 
-/// How long an agent is waited for: some round trips, and a link that has to be made.
-const GATE_LIMIT: Duration = Duration::from_millis(500);
+/// Timeout of an account query to an agent: some round trips, and the time to connect.
+const ACCOUNT_QUERY_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// When to come back where the agent of an account does not answer.
-const UNHEARD_RETRY: Duration = Duration::from_secs(1);
+/// Retry-after time if the agent of an account does not answer.
+const NO_ANSWER_RETRY: Duration = Duration::from_secs(1);
 
-/// A request that waits for an agent to let it in.
+/// A request that waits for an agent to admit it.
 #[derive(Debug)]
-pub(super) struct PendingArrival {
+pub(super) struct PendingAdmission {
     pub(super) arrival: Box<Arrival>,
     need: TokenNeed,
-    limit: Duration,
+    time_limit: Duration,
     agent: Arc<str>,
-    asked_at: Tick,
+    queried_at: Tick,
 }
 
-impl PendingArrival {
-    /// What the agent gives it, should it let it in.
-    pub(super) fn into_share(self) -> AgentShare {
-        AgentShare { agent: self.agent }
+impl PendingAdmission {
+    /// The grant to release if the agent admits the request.
+    pub(super) fn into_grant(self) -> AgentGrant {
+        AgentGrant { agent: self.agent }
     }
 }
 
-/// What an agent let a request in by.
+/// An admission by an agent, which has to be released there.
 #[derive(Clone, Debug)]
-pub(super) struct AgentShare {
+pub(super) struct AgentGrant {
     pub(super) agent: Arc<str>,
 }
 
 impl EntryCore {
-    /// Lets a request in, asks for it, or refuses it.
+    /// Admits a request, asks an agent to admit it, or refuses it.
     pub(super) fn admit(
         &mut self,
         arrival: Box<Arrival>,
         need: TokenNeed,
-        limit: Duration,
+        time_limit: Duration,
         now: Tick,
     ) {
         let entries = self.table.live_entries();
         let LimitFault { retry, rest } = match self.limits.admit(&arrival.policy, entries, now) {
-            Ok(()) => return self.let_in(arrival, need, limit, None, now),
+            Ok(()) => return self.start_request(arrival, need, time_limit, None, now),
             Err(fault) => fault,
         };
         let agent = rest.and_then(|rest| {
@@ -61,34 +62,41 @@
             return self.refuse_over_limit(arrival.number, retry);
         };
         let number = arrival.number;
-        self.ask_gate(&agent, &arrival, rest, false);
-        self.timers.subscribe(now + GATE_LIMIT, Timer::Gate(number));
-        let pending = PendingArrival { arrival, need, limit, agent, asked_at: now };
+        self.send_account_query(&agent, &arrival, rest, false);
+        self.timers.subscribe(now + ACCOUNT_QUERY_TIMEOUT, Timer::AccountQuery(number));
+        let pending = PendingAdmission { arrival, need, time_limit, agent, queried_at: now };
         self.pending.insert(number, pending);
     }
 
-    fn ask_gate(&mut self, agent: &Arc<str>, arrival: &Arrival, rest: AccountShare, is_held: bool) {
+    fn send_account_query(
+        &mut self,
+        agent: &Arc<str>,
+        arrival: &Arrival,
+        rest: AccountShare,
+        is_held: bool,
+    ) {
         let account = arrival.policy.name.clone();
-        let ask = AccountAsk { number: arrival.number, account, rest, is_held };
-        self.out.push(Effect::Send(agent.clone(), ToAgent::AskAccount(ask)));
+        let query = AccountAsk { number: arrival.number, account, rest, is_held };
+        self.effects.push(Effect::Send(agent.clone(), ToAgent::AskAccount(query)));
     }
 
-    /// Tells an agent that has started again what its former life let in.
-    pub(super) fn tell_held(&mut self, agent: &Arc<str>) {
-        let held = self.requests.values().filter(|request| {
-            request.agent_share.as_ref().is_some_and(|share| share.agent == *agent)
+    /// Reports to an agent the open requests that it has admitted, since it may have restarted
+    /// and lost them.
+    pub(super) fn report_grants(&mut self, agent: &Arc<str>) {
+        let granted = self.requests.values().filter(|request| {
+            request.agent_grant.as_ref().is_some_and(|grant| grant.agent == *agent)
         });
-        let nothing = AccountShare { per_second: 0.0, concurrent: 0 };
-        let asks: Vec<_> = held
+        let empty = AccountShare { per_second: 0.0, concurrent: 0 };
+        let queries: Vec<_> = granted
             .map(|request| AccountAsk {
                 number: request.arrival.number,
                 account: request.arrival.policy.name.clone(),
-                rest: nothing,
+                rest: empty,
                 is_held: true,
             })
             .collect();
-        for ask in asks {
-            self.out.push(Effect::Send(agent.clone(), ToAgent::AskAccount(ask)));
+        for query in queries {
+            self.effects.push(Effect::Send(agent.clone(), ToAgent::AskAccount(query)));
         }
     }
 
@@ -99,54 +107,59 @@
         wait: Option<Duration>,
         now: Tick,
     ) {
-        let is_asked = self.pending.get(&number).is_some_and(|pending| pending.agent == *agent);
-        let Some(pending) = is_asked.then(|| self.pending.remove(&number)).flatten() else {
-            // Nobody waits for it any more, and nobody else gives it back.
-            let is_held = self.requests.contains_key(&number);
-            if wait.is_none() && !is_held {
-                self.out.push(Effect::Send(agent.clone(), ToAgent::ReleaseAccount(number)));
+        let is_expected = self.pending.get(&number).is_some_and(|pending| pending.agent == *agent);
+        let Some(pending) = is_expected.then(|| self.pending.remove(&number)).flatten() else {
+            // No query is pending: the grant is released here unless the request is open.
+            let is_admitted = self.requests.contains_key(&number);
+            if wait.is_none() && !is_admitted {
+                self.effects.push(Effect::Send(agent.clone(), ToAgent::ReleaseAccount(number)));
             }
             return;
         };
         if let Some(wait) = wait {
             return self.refuse_over_limit(number, wait);
         }
-        let PendingArrival { arrival, need, limit, agent, asked_at } = pending;
-        let limit = limit.saturating_sub(now.since(asked_at));
-        self.let_in(arrival, need, limit, Some(AgentShare { agent }), now);
+        let PendingAdmission { arrival, need, time_limit, agent, queried_at } = pending;
+        let time_limit = time_limit.saturating_sub(now.since(queried_at));
+        self.start_request(arrival, need, time_limit, Some(AgentGrant { agent }), now);
     }
 
-    /// Refuses what waits for an agent that can not be reached.
-    pub(super) fn on_gate_lost(&mut self, agent: &Arc<str>) {
-        let asked = self.pending.iter().filter(|(_, pending)| pending.agent == *agent);
-        let numbers: Vec<u64> = asked.map(|(number, _)| *number).collect();
+    /// Refuses the requests that wait for an agent to which the connection was lost.
+    pub(super) fn on_quota_agent_lost(&mut self, agent: &Arc<str>) {
+        let unanswered = self.pending.iter().filter(|(_, pending)| pending.agent == *agent);
+        let numbers: Vec<u64> = unanswered.map(|(number, _)| *number).collect();
         for number in numbers {
             self.pending.remove(&number);
-            self.refuse_over_limit(number, UNHEARD_RETRY);
+            self.refuse_over_limit(number, NO_ANSWER_RETRY);
         }
     }
 
-    pub(super) fn on_gate_due(&mut self, number: u64) {
+    pub(super) fn on_account_query_due(&mut self, number: u64) {
         if let Some(pending) = self.pending.remove(&number) {
-            // An answer may be on its way.
+            // The agent may have granted it: its answer may still arrive.
             let release = ToAgent::ReleaseAccount(number);
-            self.out.push(Effect::Send(pending.agent, release));
-            self.refuse_over_limit(number, UNHEARD_RETRY);
+            self.effects.push(Effect::Send(pending.agent, release));
+            self.refuse_over_limit(number, NO_ANSWER_RETRY);
         }
     }
 
     fn refuse_over_limit(&mut self, number: u64, retry: Duration) {
         self.counts.limited += 1;
         let text = "the client account is over its limit";
-        let failure = refused(FailureCode::LimitExceeded, text, retry);
-        self.out.push(Effect::Reply(number, Reply::Failed(failure)));
+        let failure = not_run_failure(FailureCode::LimitExceeded, text, retry);
+        self.effects.push(Effect::Reply(number, Reply::Failed(failure)));
     }
 
-    /// Gives back what a request was let in by.
-    pub(super) fn give_back(&mut self, number: u64, account: &str, share: Option<AgentShare>) {
-        match share {
-            Some(AgentShare { agent }) => {
-                self.out.push(Effect::Send(agent, ToAgent::ReleaseAccount(number)));
+    /// Releases the admission of a request, at the agent or in the entry's own share.
+    pub(super) fn release_admission(
+        &mut self,
+        number: u64,
+        account: &str,
+        grant: Option<AgentGrant>,
+    ) {
+        match grant {
+            Some(AgentGrant { agent }) => {
+                self.effects.push(Effect::Send(agent, ToAgent::ReleaseAccount(number)));
             }
             None => self.limits.release(account),
         }
--- a/src/entry/attempts.rs
+++ b/src/entry/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts at targets: giving them out, their answers and their ends.
+//! Attempts at targets: dispatch, answers and failures.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,12 +18,12 @@
     BODY_FRAME, Call, Completion, Dispatch, Refusal, Resume, Shard, ToAgent, ToEntry,
 };
 
-/// Part of the time left that an agent is not given, so that its verdict is
-/// here before the caller's time is up.
-const MARGIN_SHARE: f64 = 0.01;
+/// Fraction of the remaining time that is subtracted from the agent's deadline, so that its
+/// verdict arrives before the caller's time limit.
+const DEADLINE_MARGIN_FRACTION: f64 = 0.01;
 
-/// Least time that an agent is not given.
-const MARGIN: Duration = Duration::from_millis(20);
+/// Minimum time that is subtracted from the agent's deadline.
+const MIN_DEADLINE_MARGIN: Duration = Duration::from_millis(20);
 
 impl EntryCore {
     pub(super) fn dispatch(&mut self, number: u64, target: &Arc<str>, reason: String, now: Tick) {
@@ -32,7 +32,7 @@
             return;
         };
         let left = request.deadline.since(now);
-        let margin = left.mul_f64(MARGIN_SHARE).max(MARGIN);
+        let margin = left.mul_f64(DEADLINE_MARGIN_FRACTION).max(MIN_DEADLINE_MARGIN);
         let key = request.key();
         let arrival = &request.arrival;
         let others = request.members.iter().filter(|member| member.target != *target);
@@ -59,14 +59,14 @@
             },
         };
         let body = arrival.body.clone();
-        let is_second = request.verdict != Verdict::NotRun && !arrival.repeatable;
+        let repeats_run = request.verdict != Verdict::NotRun && !arrival.repeatable;
         request.phase = Phase::Running { target: target.clone(), incarnation };
         request.dispatches += 1;
         let attempt = request.attempt;
         request.log.push(now, DecisionStep::Chosen { target: target.clone(), attempt, reason });
-        self.invariant.expect(!is_second, "a request that may have run is not tried again");
+        self.invariant.expect(!repeats_run, "a request that may have run is not tried again");
         self.counts.dispatched += 1;
-        self.out.push(Effect::Send(target.clone(), ToAgent::Dispatch(dispatch)));
+        self.effects.push(Effect::Send(target.clone(), ToAgent::Dispatch(dispatch)));
         self.send_body(target, key, &body);
     }
 
@@ -75,7 +75,7 @@
         while start < body.len() {
             let end = (start + BODY_FRAME).min(body.len());
             let part = ToAgent::Body(key, body.slice(start..end));
-            self.out.push(Effect::Send(target.clone(), part));
+            self.effects.push(Effect::Send(target.clone(), part));
             start = end;
         }
     }
@@ -101,22 +101,21 @@
             }
             ToEntry::Held { attempt, engine } => self.on_held(target, attempt, engine, now),
             ToEntry::NotHeld(attempt) => self.on_not_held(target, attempt, now),
-            ToEntry::TargetLost => self.on_target_lost(target, now),
+            ToEntry::TargetLost => self.on_target_crash(target, now),
             ToEntry::AccountAnswer { number, wait_us } => {
                 let wait = wait_us.map(Duration::from_micros);
                 self.on_account_answer(target, number, wait, now);
             }
-            ToEntry::Leaving => self.table.mark_closed(target, now + super::asking::CLOSED_SPAN),
+            ToEntry::Leaving => self.table.mark_closed(target, now + super::probing::CLOSED_TTL),
         }
     }
 
-    /// Returns true where `key` is the live attempt of its request and
-    /// `target` has it.
+    /// Returns true if `key` is the live attempt of its request and runs at `target`.
     pub(super) fn is_live(&self, target: &Arc<str>, key: AttemptKey) -> bool {
         let Some(request) = self.requests.get(&key.0) else {
             return false;
         };
-        request.key() == key && request.holder().is_some_and(|(holder, _)| holder == target)
+        request.key() == key && request.attempt_target().is_some_and(|(name, _)| name == target)
     }
 
     pub(super) fn on_accepted(&mut self, target: &Arc<str>, key: AttemptKey) {
@@ -126,7 +125,7 @@
         let Some(request) = self.requests.get_mut(&key.0) else {
             return;
         };
-        if let Phase::Settling { target, incarnation, .. } = &request.phase {
+        if let Phase::Resuming { target, incarnation, .. } = &request.phase {
             request.phase = Phase::Running { target: target.clone(), incarnation: *incarnation };
             self.counts.resumed += 1;
         }
@@ -148,7 +147,7 @@
             self.history.set_wait(target, retry, now);
         }
         if refusal == Refusal::Leaving {
-            self.table.mark_closed(target, now + super::asking::CLOSED_SPAN);
+            self.table.mark_closed(target, now + super::probing::CLOSED_TTL);
         }
         self.release_members(key.0);
         let Some(request) = self.requests.get_mut(&key.0) else {
@@ -163,14 +162,14 @@
             self.on_direct_refused(key.0, now);
             return;
         }
-        if request.has_begun() {
+        if request.has_answer_started() {
             self.fail(key.0, FailureCode::TargetFailed, "the answer was cut off", now);
             return;
         }
-        self.try_next(key.0, now);
+        self.dispatch_next(key.0, now);
     }
 
-    /// Goes on after an attempt that ended without a whole answer.
+    /// Handles an attempt that ended without a whole answer: retries the request or fails it.
     pub(super) fn on_attempt_failed(
         &mut self,
         number: u64,
@@ -182,11 +181,12 @@
         let Some(request) = self.requests.get(&number) else {
             return;
         };
-        let target = request.holder().map_or_else(|| "".into(), |(target, _)| target.clone());
+        let target =
+            request.attempt_target().map_or_else(|| "".into(), |(target, _)| target.clone());
         if verdict == Verdict::MayHaveRun {
-            self.note_broken(number, &target, now);
+            self.record_interrupted(number, &target, now);
         }
-        let is_held = self.is_held(number, now);
+        let is_quarantined = self.is_quarantined(number, now);
         let Some(request) = self.requests.get_mut(&number) else {
             return;
         };
@@ -202,9 +202,9 @@
         );
         request.tried.push(target);
         request.phase = Phase::Backoff { until: now };
-        let bears_retry =
+        let is_retryable =
             verdict.may_retry(request.arrival.repeatable) || is_on(Mutant::VerdictOff);
-        let may_retry = bears_retry && !request.has_begun() && !is_held;
+        let may_retry = is_retryable && !request.has_answer_started() && !is_quarantined;
         let has_attempts = request.dispatches < self.tuning.max_attempts;
         if !may_retry || !has_attempts || !self.budget.withdraw() {
             self.fail(number, FailureCode::TargetFailed, reason, now);
@@ -232,8 +232,8 @@
             return;
         }
         request.has_head = true;
-        request.first = Some(now);
-        self.out.push(Effect::Reply(key.0, Reply::Head(status, content_type)));
+        request.first_part_at = Some(now);
+        self.effects.push(Effect::Reply(key.0, Reply::Head(status, content_type)));
     }
 
     pub(super) fn on_chunk(
@@ -251,35 +251,35 @@
         let Some(request) = self.requests.get_mut(&key.0) else {
             return;
         };
-        let sent = request.sent;
-        let offset = if is_on(Mutant::OffsetOff) { sent } else { offset };
-        if offset > sent {
-            self.ask_rest(key.0);
+        let sent_bytes = request.sent_bytes;
+        let offset = if is_on(Mutant::OffsetOff) { sent_bytes } else { offset };
+        if offset > sent_bytes {
+            self.send_resume(key.0);
             return;
         }
-        let known = (sent - offset) as usize;
-        if known >= text.len() {
+        let received = (sent_bytes - offset) as usize;
+        if received >= text.len() {
             return;
         }
-        if request.first.is_none() {
-            request.first = Some(now);
+        if request.first_part_at.is_none() {
+            request.first_part_at = Some(now);
             request.log.push(now, DecisionStep::First { target: target.clone() });
         }
-        let fresh = text.slice(known..);
-        request.sent += fresh.len() as u64;
-        self.out.push(Effect::Reply(key.0, Reply::Text(fresh)));
+        let new_part = text.slice(received..);
+        request.sent_bytes += new_part.len() as u64;
+        self.effects.push(Effect::Reply(key.0, Reply::Text(new_part)));
     }
 
-    /// Asks for the answer from the offset on that the caller has.
-    pub(super) fn ask_rest(&mut self, number: u64) {
+    /// Asks the target for the answer from the byte on that the caller does not have yet.
+    pub(super) fn send_resume(&mut self, number: u64) {
         let Some(request) = self.requests.get(&number) else {
             return;
         };
-        let Some((target, incarnation)) = request.holder() else {
+        let Some((target, incarnation)) = request.attempt_target() else {
             return;
         };
-        let resume = Resume { attempt: request.key(), incarnation, offset: request.sent };
-        self.out.push(Effect::Send(target.clone(), ToAgent::Resume(resume)));
+        let resume = Resume { attempt: request.key(), incarnation, offset: request.sent_bytes };
+        self.effects.push(Effect::Send(target.clone(), ToAgent::Resume(resume)));
     }
 
     pub(super) fn on_done(
@@ -295,11 +295,11 @@
         let Some(request) = self.requests.get(&key.0) else {
             return;
         };
-        if request.sent < completion.length {
-            self.ask_rest(key.0);
+        if request.sent_bytes < completion.length {
+            self.send_resume(key.0);
             return;
         }
-        let is_whole = request.sent == completion.length;
+        let is_whole = request.sent_bytes == completion.length;
         self.invariant.expect(is_whole, "an answer is as long as its target said");
         if let Call::Model { model, .. } = &request.arrival.call {
             let bytes = request.arrival.prompt_bytes;
@@ -312,11 +312,11 @@
             completion.waited_us / 1000
         );
         let wait = Duration::from_micros(completion.wait_us);
-        self.note_served(key.0);
+        self.record_answered(key.0);
         self.history.set_wait(target, wait, now);
         self.counts.finished += 1;
         self.release_members(key.0);
-        self.out.push(Effect::Reply(key.0, Reply::Done(completion)));
+        self.effects.push(Effect::Reply(key.0, Reply::Done(completion)));
         self.close(key.0, &outcome, now);
     }
 }
--- a/src/entry/core.rs
+++ b/src/entry/core.rs
@@ -1,4 +1,4 @@
-//! The entry's decisions.
+//! State and event handling of the entry's core.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -8,7 +8,7 @@
 use rand::rngs::StdRng;
 
 use super::account::AccountLimits;
-use super::admission::{AgentShare, PendingArrival};
+use super::admission::{AgentGrant, PendingAdmission};
 use super::direct::DirectHistory;
 use super::event::{Arrival, Effect, EntryTuning, Event, Failure, FailureCode, Reply};
 use super::request::{Phase, Request};
@@ -25,91 +25,92 @@
 use crate::verdict::Verdict;
 use crate::wire::{Call, ToAgent, TokenNeed};
 
-/// When to come back where nobody said.
+/// Retry-after time of a failure for which no target reported one.
 const DEFAULT_RETRY: Duration = Duration::from_secs(1);
 
-/// Counts of an entry's life.
+/// Counters since the start of an entry.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EntryCounts {
-    /// Requests let in.
+    /// Requests admitted.
     pub admitted: u64,
-    /// Whole answers.
+    /// Requests answered completely.
     pub finished: u64,
-    /// Final failures.
+    /// Requests that failed after they were admitted.
     pub failed: u64,
-    /// Refused over a limit of the account.
+    /// Requests refused because their account exceeded its limits.
     pub limited: u64,
-    /// Callers that went away.
+    /// Requests whose caller disconnected.
     pub gone: u64,
-    /// Attempts given to agents.
+    /// Attempts dispatched to agents.
     pub dispatched: u64,
-    /// Attempts given out without asking.
+    /// Attempts dispatched without probing.
     pub direct: u64,
     /// Attempts refused by agents.
     pub refused: u64,
-    /// Attempts after a failure.
+    /// Attempts made after a failed one.
     pub retried: u64,
     /// Probes sent.
     pub probes: u64,
-    /// Groups formed.
+    /// Groups of engines formed.
     pub groups: u64,
-    /// Answers joined again after a lost connection.
+    /// Answers resumed after a lost connection.
     pub resumed: u64,
 }
 
+/// Timers of an entry's core: each names a request, and its probe round or attempt if needed.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
     Deadline(u64),
     Probe(u64, u16),
     Backoff(u64),
-    Settle(u64),
+    Resume(u64),
     Renew(u64, u16),
-    Claim(u64, u16),
-    Gate(u64),
+    Hold(u64, u16),
+    AccountQuery(u64),
 }
 
-/// The deciding part of an entry.
+/// The part of an entry that makes all decisions and does no input or output.
 #[derive(Debug)]
 pub struct EntryCore {
     pub(super) id: ProcessId,
     pub(super) failure_domain: Arc<str>,
     pub(super) tuning: EntryTuning,
     pub(super) config: Option<Arc<Config>>,
-    pub(super) heard_version: ConfigVersion,
+    pub(super) newest_version: ConfigVersion,
     pub(super) table: RouteTable,
     pub(super) limits: AccountLimits,
     pub(super) estimator: TokenEstimator,
     pub(super) links: HashMap<Arc<str>, Incarnation>,
     pub(super) requests: BTreeMap<u64, Request>,
-    /// Requests that wait for an agent to let them in.
-    pub(super) pending: BTreeMap<u64, PendingArrival>,
+    /// Requests that wait for an agent to admit them.
+    pub(super) pending: BTreeMap<u64, PendingAdmission>,
     pub(super) probes: HashMap<u64, u64>,
     pub(super) next_probe: u64,
     pub(super) timers: TimerService<Timer>,
     pub(super) history: DirectHistory,
     pub(super) budget: RetryBudget,
-    /// Requests that end the engines that run them.
+    /// Requests under which engines crashed.
     pub(super) quarantine: QuarantineLedger,
-    /// How often the engine of a target has ended.
-    pub(super) lives: HashMap<Arc<str>, u64>,
+    /// Number of reported crashes of each target's engine.
+    pub(super) crash_counts: HashMap<Arc<str>, u64>,
     pub(super) rng: StdRng,
     pub(super) archive: DecisionArchive,
     pub(super) draining: bool,
     pub(super) stopped: bool,
     pub(super) invariant: InvariantCheck,
     pub(super) counts: EntryCounts,
-    pub(super) out: Vec<Effect>,
+    pub(super) effects: Vec<Effect>,
 }
 
 impl EntryCore {
-    /// Makes the core of an entry that knows no configuration and no target.
+    /// Makes the core of an entry that has no configuration and knows no target.
     #[must_use]
     pub fn new(id: ProcessId, failure_domain: Arc<str>, tuning: EntryTuning, seed: u64) -> Self {
         EntryCore {
             id,
             failure_domain,
             config: None,
-            heard_version: ConfigVersion::default(),
+            newest_version: ConfigVersion::default(),
             table: RouteTable::default(),
             limits: AccountLimits::default(),
             estimator: TokenEstimator::default(),
@@ -122,19 +123,19 @@
             history: DirectHistory::default(),
             budget: RetryBudget::new(tuning.retry_ratio),
             quarantine: QuarantineLedger::default(),
-            lives: HashMap::new(),
+            crash_counts: HashMap::new(),
             rng: StdRng::seed_from_u64(seed),
             archive: DecisionArchive::new(tuning.decision_capacity),
             draining: false,
             stopped: false,
             invariant: InvariantCheck::new(tuning.strict),
             counts: EntryCounts::default(),
-            out: Vec::new(),
+            effects: Vec::new(),
             tuning,
         }
     }
 
-    /// Takes an event and returns what is to be done.
+    /// Handles an event, then all timers that are due, and returns the effects to carry out.
     pub fn on_event(&mut self, now: Tick, event: Event) -> Vec<Effect> {
         match event {
             Event::Arrive(arrival) => self.on_arrive(arrival, now),
@@ -147,36 +148,36 @@
             Event::Drain => self.draining = true,
             Event::Wake => {}
         }
-        self.expire(now);
+        self.fire_timers(now);
         self.check_stopped();
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.effects)
     }
 
-    /// The next time at which [`Event::Wake`] is wanted.
+    /// The time of the next timer, at which [`Event::Wake`] is to be sent.
     #[must_use]
     pub fn next_wake(&self) -> Option<Tick> {
         self.timers.peek_next()
     }
 
-    /// The process that this core decides for.
+    /// Identity of the entry's process.
     #[must_use]
     pub fn process(&self) -> &ProcessId {
         &self.id
     }
 
-    /// Counts of this life.
+    /// Counters since the start of this entry.
     #[must_use]
     pub fn counts(&self) -> EntryCounts {
         self.counts
     }
 
-    /// Requests without a final answer.
+    /// Number of requests without a final answer.
     #[must_use]
     pub fn open_requests(&self) -> usize {
         self.requests.len() + self.pending.len()
     }
 
-    /// How many invariants were broken.
+    /// Number of broken invariants.
     #[must_use]
     pub fn broken_invariants(&self) -> u64 {
         self.invariant.broken()
@@ -188,19 +189,19 @@
         self.config.as_ref()
     }
 
-    /// Targets that the platform lists.
+    /// Number of targets that the platform lists.
     #[must_use]
     pub fn known_targets(&self) -> usize {
         self.table.len()
     }
 
-    /// Targets and entries that the platform lists.
+    /// Routing table: the targets and entries that the platform lists.
     #[must_use]
     pub fn table(&self) -> &RouteTable {
         &self.table
     }
 
-    /// What was decided about a request, where it is still remembered.
+    /// Decisions about a request, if it is open or still in the archive.
     #[must_use]
     pub fn decision_log(&self, number: u64) -> Option<&DecisionLog> {
         let open = self.requests.get(&number).map(|request| &request.log);
@@ -208,33 +209,35 @@
     }
 
     pub(super) fn on_config(&mut self, config: Arc<Config>) {
-        let current = self.config.as_ref().map_or(ConfigVersion::default(), |one| one.version);
+        let current =
+            self.config.as_ref().map_or(ConfigVersion::default(), |current| current.version);
         if config.version > current || self.config.is_none() || is_on(Mutant::RevertOn) {
-            self.heard_version = self.heard_version.max(config.version);
+            self.newest_version = self.newest_version.max(config.version);
             self.config = Some(config);
         }
     }
 
-    pub(super) fn hear_version(&mut self, version: ConfigVersion) {
-        if version > self.heard_version {
-            self.heard_version = version;
-            self.out.push(Effect::PullConfig);
+    pub(super) fn learn_version(&mut self, version: ConfigVersion) {
+        if version > self.newest_version {
+            self.newest_version = version;
+            self.effects.push(Effect::PullConfig);
         }
     }
 
-    // Callers.
+    // Requests of callers.
 
     pub(super) fn on_arrive(&mut self, arrival: Box<Arrival>, now: Tick) {
         let number = arrival.number;
         if self.draining {
-            let failure = refused(FailureCode::Stopping, "this entry is stopping", DEFAULT_RETRY);
-            self.out.push(Effect::Reply(number, Reply::Failed(failure)));
+            let failure =
+                not_run_failure(FailureCode::Stopping, "this entry is stopping", DEFAULT_RETRY);
+            self.effects.push(Effect::Reply(number, Reply::Failed(failure)));
             return;
         }
-        if let Some(span) = self.held_for(&arrival, now) {
+        if let Some(wait) = self.quarantine_time(&arrival, now) {
             let text = "targets ended under this request";
-            let failure = refused(FailureCode::HeldBack, text, span);
-            self.out.push(Effect::Reply(number, Reply::Failed(failure)));
+            let failure = not_run_failure(FailureCode::HeldBack, text, wait);
+            self.effects.push(Effect::Reply(number, Reply::Failed(failure)));
             return;
         }
         let prompt = match &arrival.call {
@@ -242,82 +245,82 @@
             Call::Plain { .. } => 0,
         };
         let need = TokenNeed { prompt, answer: arrival.answer_tokens };
-        let Some(limit) = arrival.policy.time_limit(prompt) else {
+        let Some(time_limit) = arrival.policy.time_limit(prompt) else {
             let text = format!("no time limit covers a prompt of {prompt} tokens");
             let failure = Failure {
                 retry_after: None,
-                ..refused(FailureCode::PromptTooLong, &text, DEFAULT_RETRY)
+                ..not_run_failure(FailureCode::PromptTooLong, &text, DEFAULT_RETRY)
             };
-            self.out.push(Effect::Reply(number, Reply::Failed(failure)));
+            self.effects.push(Effect::Reply(number, Reply::Failed(failure)));
             return;
         };
-        self.admit(arrival, need, limit, now);
+        self.admit(arrival, need, time_limit, now);
     }
 
-    /// Begins the work on a request that its account may have.
-    pub(super) fn let_in(
+    /// Starts an admitted request: dispatches it directly or probes targets.
+    pub(super) fn start_request(
         &mut self,
         arrival: Box<Arrival>,
         need: TokenNeed,
-        limit: Duration,
-        agent_share: Option<AgentShare>,
+        time_limit: Duration,
+        agent_grant: Option<AgentGrant>,
         now: Tick,
     ) {
         let number = arrival.number;
         self.counts.admitted += 1;
         self.budget.deposit();
         let first = arrival.marks.peek_first();
-        let mut request = Request::new(arrival, need, now, limit);
-        request.agent_share = agent_share;
+        let mut request = Request::new(arrival, need, now, time_limit);
+        request.agent_grant = agent_grant;
         request.prefix = first.filter(|hash| self.history.insert_prefix(*hash));
         self.timers.subscribe(request.deadline, Timer::Deadline(number));
         self.requests.insert(number, request);
         if !self.try_direct(number, now) {
-            self.ask(number, now);
+            self.probe_targets(number, now);
         }
     }
 
     pub(super) fn on_caller_gone(&mut self, number: u64, now: Tick) {
         if let Some(pending) = self.pending.remove(&number) {
             self.counts.gone += 1;
-            let share = Some(pending.into_share());
-            return self.give_back(number, "", share);
+            let grant = Some(pending.into_grant());
+            return self.release_admission(number, "", grant);
         }
         if !self.requests.contains_key(&number) {
             return;
         }
         self.counts.gone += 1;
-        self.abandon(number);
+        self.cancel_attempt(number);
         self.close(number, "the caller went away", now);
     }
 
-    /// Tells targets that nobody wants the live attempt any more.
-    pub(super) fn abandon(&mut self, number: u64) {
+    /// Cancels the live attempt at its target and releases the memory of group members.
+    pub(super) fn cancel_attempt(&mut self, number: u64) {
         let Some(request) = self.requests.get(&number) else {
             return;
         };
         let key = request.key();
-        if let Some((target, _)) = request.holder() {
-            self.out.push(Effect::Send(target.clone(), ToAgent::Cancel(key)));
+        if let Some((target, _)) = request.attempt_target() {
+            self.effects.push(Effect::Send(target.clone(), ToAgent::Cancel(key)));
         }
         self.release_members(number);
     }
 
-    /// Takes a request out of the books.
+    /// Removes a request and archives its decisions.
     pub(super) fn close(&mut self, number: u64, outcome: &str, now: Tick) {
         let Some(mut request) = self.requests.remove(&number) else {
             return;
         };
         request.log.push(now, DecisionStep::Ended { outcome: outcome.to_owned() });
-        let share = request.agent_share.take();
-        self.give_back(number, &request.arrival.policy.name, share);
+        let grant = request.agent_grant.take();
+        self.release_admission(number, &request.arrival.policy.name, grant);
         self.forget_probes(&request.phase);
         self.archive.insert(number, request.log);
     }
 
     pub(super) fn forget_probes(&mut self, phase: &Phase) {
-        if let Phase::Probing { asked, .. } = phase {
-            for (probe, _) in asked {
+        if let Phase::Probing { unanswered, .. } = phase {
+            for (probe, _) in unanswered {
                 self.probes.remove(probe);
             }
         }
@@ -337,23 +340,23 @@
         };
         self.counts.failed += 1;
         let outcome = format!("{code}: {message}; {}", failure.verdict);
-        self.out.push(Effect::Record { number, kind: "failed", detail: outcome.clone() });
-        self.out.push(Effect::Reply(number, Reply::Failed(failure)));
+        self.effects.push(Effect::Record { number, kind: "failed", detail: outcome.clone() });
+        self.effects.push(Effect::Reply(number, Reply::Failed(failure)));
         self.close(number, &outcome, now);
     }
 
-    // Time and stops.
+    // Timers and draining.
 
-    pub(super) fn expire(&mut self, now: Tick) {
+    pub(super) fn fire_timers(&mut self, now: Tick) {
         while let Some(timer) = self.timers.pop_due(now) {
             match timer {
                 Timer::Deadline(number) => self.on_deadline(number, now),
-                Timer::Probe(number, wave) => self.on_probe_due(number, wave, now),
+                Timer::Probe(number, round) => self.on_probe_due(number, round, now),
                 Timer::Backoff(number) => self.on_backoff_due(number, now),
-                Timer::Settle(number) => self.on_settle_due(number, now),
+                Timer::Resume(number) => self.on_resume_due(number, now),
                 Timer::Renew(number, attempt) => self.on_renew_due(number, attempt, now),
-                Timer::Claim(number, attempt) => self.on_claim_due(number, attempt, now),
-                Timer::Gate(number) => self.on_gate_due(number),
+                Timer::Hold(number, attempt) => self.on_hold_due(number, attempt, now),
+                Timer::AccountQuery(number) => self.on_account_query_due(number),
             }
         }
     }
@@ -365,10 +368,10 @@
         let Some(request) = self.requests.get_mut(&number) else {
             return;
         };
-        if request.holder().is_some() {
+        if request.attempt_target().is_some() {
             request.verdict = request.verdict.join(Verdict::MayHaveRun);
         }
-        self.abandon(number);
+        self.cancel_attempt(number);
         self.fail(number, FailureCode::TimeLimit, "the time limit passed", now);
     }
 
@@ -377,18 +380,19 @@
             return;
         };
         if matches!(request.phase, Phase::Backoff { until } if until <= now) {
-            self.ask(number, now);
+            self.probe_targets(number, now);
         }
     }
 
     pub(super) fn check_stopped(&mut self) {
         if self.draining && self.open_requests() == 0 && !self.stopped {
             self.stopped = true;
-            self.out.push(Effect::Stopped);
+            self.effects.push(Effect::Stopped);
         }
     }
 }
 
-pub(super) fn refused(code: FailureCode, text: &str, retry: Duration) -> Failure {
+/// A failure of a request that was not run.
+pub(super) fn not_run_failure(code: FailureCode, text: &str, retry: Duration) -> Failure {
     Failure { code, message: text.to_owned(), verdict: Verdict::NotRun, retry_after: Some(retry) }
 }
--- a/src/entry/direct.rs
+++ b/src/entry/direct.rs
@@ -3,7 +3,7 @@
 //! Probing costs a network round trip and several messages. If a target is a good choice anyway
 //! and its last reported wait is short, the request is dispatched to it at once, together with
 //! the longest acceptable wait. An agent that predicts a longer wait refuses the attempt as not
-//! run, and only then the entry probes other targets.
+//! run, and only then does the entry probe other targets.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -121,8 +121,8 @@
 
     /// Number of this entry's live attempts at a target.
     pub(super) fn attempts_at(&self, target: &str) -> usize {
-        let attempts = self.requests.values().filter_map(|request| request.holder());
-        attempts.filter(|(holder, _)| &***holder == target).count()
+        let attempts = self.requests.values().filter_map(|request| request.attempt_target());
+        attempts.filter(|(name, _)| &***name == target).count()
     }
 
     /// Handles a direct dispatch that the target refused as too busy: probes other targets.
@@ -134,6 +134,6 @@
         };
         request.dispatches = request.dispatches.saturating_sub(1);
         request.phase = Phase::Backoff { until: now };
-        self.ask(number, now);
+        self.probe_targets(number, now);
     }
 }
--- a/src/entry/group.rs
+++ b/src/entry/group.rs
@@ -1,10 +1,9 @@
-//! Groups of engines for a prompt that is larger than one of them.
+//! Groups of engines for a prompt that does not fit into the memory of one engine.
 //!
-//! Memory is asked for at one member after the other, in the order of their
-//! names, and waited for. Since every group asks in the same order, no two
-//! can wait for each other. Each agent serves waiting groups in the order
-//! they came, so the largest prompt gets its turn. A lease that is not
-//! renewed expires by itself.
+//! The entry reserves memory at one member after the other, in the order of their names, and
+//! waits for each hold. All groups reserve in the same order, so there is no deadlock. Each agent
+//! serves waiting groups in the order of their arrival, so that large prompts do not starve.
+//! A hold that is not renewed expires.
 
 use std::sync::Arc;
 
@@ -17,39 +16,39 @@
 use crate::verdict::Verdict;
 use crate::wire::{Hold, ToAgent};
 
-/// Share of an engine's memory that a group may take.
-const FILL: f64 = 0.95;
+/// Fraction of an engine's memory that a group may take.
+const MAX_FILL: f64 = 0.95;
 
-/// Renewals within the time to live of a lease.
-const RENEWALS: u32 = 3;
+/// Number of renewals within the time to live of a hold.
+const RENEWALS_PER_TTL: u32 = 3;
 
-/// Waves of questions after which too few engines are believed to exist.
-const MAX_GROUP_WAVES: u16 = 40;
+/// Maximum number of probe rounds for a group if too few engines answer.
+const MAX_GROUP_ROUNDS: u16 = 40;
 
 impl EntryCore {
-    /// Chooses members among the offers and asks the first for memory.
+    /// Chooses the members among the offers and reserves memory at the first one.
     pub(super) fn form_group(&mut self, number: u64, offers: &[Offer], now: Tick) {
         let Some(request) = self.requests.get_mut(&number) else {
             return;
         };
         let total = request.need.total();
         let mut members: Vec<Member> = Vec::new();
-        let mut room = 0;
-        // The best offers stand last.
+        let mut available = 0;
+        // Offers are sorted with the best one last.
         for offer in offers.iter().rev() {
-            if room >= total {
+            if available >= total {
                 break;
             }
-            let tokens = (offer.answer.capacity_tokens as f64 * FILL) as u64;
-            room += tokens;
+            let tokens = (offer.answer.capacity_tokens as f64 * MAX_FILL) as u64;
+            available += tokens;
             let target = offer.target.clone();
-            members.push(Member { target, tokens, engine: None, held: now });
+            members.push(Member { target, tokens, engine: None, held_at: now });
         }
-        if room < total {
-            self.ask_wider(number, now);
+        if available < total {
+            self.back_off_group(number, now);
             return;
         }
-        level_shares(&mut members, total, room);
+        scale_shares(&mut members, total, available);
         members.sort_by(|a, b| a.target.cmp(&b.target));
         let targets = members.iter().map(|member| member.target.clone()).collect();
         request.log.push(now, DecisionStep::Grouped { targets });
@@ -58,17 +57,17 @@
         request.phase = Phase::Holding { next: 0, since: now };
         let attempt = request.attempt;
         self.counts.groups += 1;
-        let renewal = self.tuning.hold_ttl / RENEWALS;
+        let renewal = self.tuning.hold_ttl / RENEWALS_PER_TTL;
         self.timers.subscribe(now + renewal, Timer::Renew(number, attempt));
-        self.claim_next(number, now);
+        self.hold_next(number, now);
     }
 
-    fn ask_wider(&mut self, number: u64, now: Tick) {
+    fn back_off_group(&mut self, number: u64, now: Tick) {
         let Some(request) = self.requests.get_mut(&number) else {
             return;
         };
         request.tried.clear();
-        if request.waves >= MAX_GROUP_WAVES {
+        if request.rounds >= MAX_GROUP_ROUNDS {
             let text = "too few engines answered for a prompt of this length";
             self.fail(number, FailureCode::Overloaded, text, now);
             return;
@@ -76,7 +75,7 @@
         self.back_off(number, "too few engines answered for a group", now);
     }
 
-    fn claim_next(&mut self, number: u64, now: Tick) {
+    fn hold_next(&mut self, number: u64, now: Tick) {
         let Some(request) = self.requests.get_mut(&number) else {
             return;
         };
@@ -96,9 +95,9 @@
             expires_us: (wait + self.tuning.hold_ttl).as_micros() as u64,
             is_renewal: false,
         };
-        let timer = Timer::Claim(number, request.attempt);
+        let timer = Timer::Hold(number, request.attempt);
         self.timers.subscribe(now + wait, timer);
-        self.out.push(Effect::Send(member.target.clone(), ToAgent::Hold(hold)));
+        self.effects.push(Effect::Send(member.target.clone(), ToAgent::Hold(hold)));
     }
 
     pub(super) fn on_held(
@@ -109,23 +108,23 @@
         now: Tick,
     ) {
         let Some(request) = self.requests.get_mut(&key.0) else {
-            // Nobody wants it any more.
-            self.out.push(Effect::Send(target.clone(), ToAgent::Release(key)));
+            // The request has ended.
+            self.effects.push(Effect::Send(target.clone(), ToAgent::Release(key)));
             return;
         };
         let is_current = request.key() == key;
         let member = request.members.iter_mut().find(|member| member.target == *target);
         let Some(member) = member.filter(|_| is_current) else {
-            self.out.push(Effect::Send(target.clone(), ToAgent::Release(key)));
+            self.effects.push(Effect::Send(target.clone(), ToAgent::Release(key)));
             return;
         };
-        member.held = now;
+        member.held_at = now;
         if member.engine.replace(engine).is_some() {
             return;
         }
         if let Phase::Holding { next, .. } = &mut request.phase {
             *next += 1;
-            self.claim_next(key.0, now);
+            self.hold_next(key.0, now);
         }
     }
 
@@ -139,14 +138,14 @@
         }
     }
 
-    /// Ends a group that lost a member, or did not get one.
+    /// Ends a group that lost a member, or could not reserve memory at one.
     fn end_group(&mut self, number: u64, target: &Arc<str>, now: Tick) {
         let Some(request) = self.requests.get_mut(&number) else {
             return;
         };
         let reason = format!("{target} holds no memory for the group");
-        if request.holder().is_some() {
-            self.abandon(number);
+        if request.attempt_target().is_some() {
+            self.cancel_attempt(number);
             self.on_attempt_failed(number, Verdict::MayHaveRun, &reason, now);
             return;
         }
@@ -154,15 +153,16 @@
         self.back_off(number, &reason, now);
     }
 
-    /// The link to a target was lost: asks at once whether its memory stands.
+    /// Handles the loss of the connection to a member: renews the holds at once, to learn whether
+    /// its memory is still held.
     pub(super) fn on_member_lost(&mut self, number: u64, target: &Arc<str>, now: Tick) {
         let Some(request) = self.requests.get(&number) else {
             return;
         };
-        let Some(member) = request.members.iter().find(|one| one.target == *target) else {
+        let Some(member) = request.members.iter().find(|member| member.target == *target) else {
             return;
         };
-        let is_leader = request.holder().is_some_and(|(holder, _)| holder == target);
+        let is_leader = request.attempt_target().is_some_and(|(name, _)| name == target);
         if is_leader {
             return;
         }
@@ -172,14 +172,14 @@
             }
             return;
         }
-        self.renew(number);
+        self.renew_holds(number);
     }
 
-    fn renew(&mut self, number: u64) {
+    fn renew_holds(&mut self, number: u64) {
         let Some(request) = self.requests.get(&number) else {
             return;
         };
-        let leader = request.holder().map(|(target, _)| target.clone());
+        let leader = request.attempt_target().map(|(target, _)| target.clone());
         let key = request.key();
         let expires_us = self.tuning.hold_ttl.as_micros() as u64;
         for member in &request.members {
@@ -187,7 +187,7 @@
                 continue;
             }
             let hold = Hold { attempt: key, tokens: member.tokens, expires_us, is_renewal: true };
-            self.out.push(Effect::Send(member.target.clone(), ToAgent::Hold(hold)));
+            self.effects.push(Effect::Send(member.target.clone(), ToAgent::Hold(hold)));
         }
     }
 
@@ -198,21 +198,21 @@
         if request.attempt != attempt || request.members.is_empty() {
             return;
         }
-        let leader = request.holder().map(|(target, _)| target.clone());
+        let leader = request.attempt_target().map(|(target, _)| target.clone());
         let ttl = self.tuning.hold_ttl;
         let lost = request.members.iter().find(|member| {
             let is_held = member.engine.is_some() && Some(&member.target) != leader.as_ref();
-            is_held && now.since(member.held) > ttl
+            is_held && now.since(member.held_at) > ttl
         });
         if let Some(target) = lost.map(|member| member.target.clone()) {
             self.end_group(number, &target, now);
             return;
         }
-        self.renew(number);
-        self.timers.subscribe(now + ttl / RENEWALS, Timer::Renew(number, attempt));
+        self.renew_holds(number);
+        self.timers.subscribe(now + ttl / RENEWALS_PER_TTL, Timer::Renew(number, attempt));
     }
 
-    pub(super) fn on_claim_due(&mut self, number: u64, attempt: u16, now: Tick) {
+    pub(super) fn on_hold_due(&mut self, number: u64, attempt: u16, now: Tick) {
         let Some(request) = self.requests.get(&number) else {
             return;
         };
@@ -227,22 +227,22 @@
         }
     }
 
-    /// Gives back what members hold for the live attempt.
+    /// Releases the memory that members hold for the live attempt.
     pub(super) fn release_members(&mut self, number: u64) {
         let Some(request) = self.requests.get_mut(&number) else {
             return;
         };
         let key = request.key();
         for member in std::mem::take(&mut request.members) {
-            self.out.push(Effect::Send(member.target, ToAgent::Release(key)));
+            self.effects.push(Effect::Send(member.target, ToAgent::Release(key)));
         }
     }
 }
 
-/// Scales what members could give down to what is needed.
-fn level_shares(members: &mut [Member], total: u64, room: u64) {
+/// Scales the members' tokens down from `available`, their sum, to `total`, the required number.
+fn scale_shares(members: &mut [Member], total: u64, available: u64) {
     for member in members {
-        let share = member.tokens as f64 * total as f64 / room as f64;
+        let share = member.tokens as f64 * total as f64 / available as f64;
         member.tokens = share.ceil() as u64;
     }
 }
--- a/src/entry/links.rs
+++ b/src/entry/links.rs
@@ -1,4 +1,4 @@
-//! Links to agents that come and go, and what becomes of attempts then.
+//! Connections to agents: their establishment and loss, and the recovery of attempts.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,25 +11,25 @@
 use crate::verdict::Verdict;
 use crate::wire::ToAgent;
 
-/// Time from one question after a lost attempt to the next.
-const SETTLE_STEP: Duration = Duration::from_millis(200);
+/// Interval between two attempts to resume.
+const RESUME_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How long a target is asked after an attempt that may run elsewhere as well.
-const SHORT_SETTLE: Duration = Duration::from_millis(600);
+/// Time for which the entry tries to resume an attempt that may be retried elsewhere instead.
+const SHORT_RESUME_TIMEOUT: Duration = Duration::from_millis(600);
 
 impl EntryCore {
     pub(super) fn on_agent_up(&mut self, target: Arc<str>, incarnation: Incarnation) {
         if let Some(config) = &self.config {
             let version = ToAgent::ConfigVersion(config.version);
-            self.out.push(Effect::Send(target.clone(), version));
+            self.effects.push(Effect::Send(target.clone(), version));
         }
-        self.tell_held(&target);
+        self.report_grants(&target);
         self.links.insert(target, incarnation);
     }
 
     pub(super) fn on_agent_down(&mut self, target: &Arc<str>, now: Tick) {
         self.history.forget(target);
-        self.on_gate_lost(target);
+        self.on_quota_agent_lost(target);
         let was_up = self.links.remove(target).is_some();
         if !was_up {
             self.table.mark_suspect(target, now + self.tuning.suspect_duration);
@@ -45,55 +45,58 @@
         let Some(request) = self.requests.get_mut(&number) else {
             return;
         };
-        let may_run_elsewhere = request.arrival.repeatable && !request.has_begun();
+        let may_run_elsewhere = request.arrival.repeatable && !request.has_answer_started();
         match &mut request.phase {
-            Phase::Probing { asked, .. } => {
-                let before = asked.len();
+            Phase::Probing { unanswered, .. } => {
+                let before = unanswered.len();
                 let (lost, rest): (Vec<_>, Vec<_>) =
-                    std::mem::take(asked).into_iter().partition(|(_, name)| name == target);
-                *asked = rest;
-                let is_last = asked.is_empty() && before > 0;
+                    std::mem::take(unanswered).into_iter().partition(|(_, name)| name == target);
+                *unanswered = rest;
+                let is_last = unanswered.is_empty() && before > 0;
                 for (probe, _) in lost {
                     self.probes.remove(&probe);
                 }
                 if is_last {
-                    self.choose(number, now);
+                    self.choose_offer(number, now);
                 }
             }
-            Phase::Running { target: holder, incarnation } if holder == target => {
-                let limit =
-                    if may_run_elsewhere { SHORT_SETTLE } else { self.tuning.resume_timeout };
+            Phase::Running { target: name, incarnation } if name == target => {
+                let limit = if may_run_elsewhere {
+                    SHORT_RESUME_TIMEOUT
+                } else {
+                    self.tuning.resume_timeout
+                };
                 let incarnation = *incarnation;
-                request.phase = Phase::Settling {
+                request.phase = Phase::Resuming {
                     target: target.clone(),
                     incarnation,
                     until: now + limit,
-                    next: now + SETTLE_STEP,
+                    next: now + RESUME_INTERVAL,
                 };
-                self.timers.subscribe(now + SETTLE_STEP, Timer::Settle(number));
-                self.ask_rest(number);
+                self.timers.subscribe(now + RESUME_INTERVAL, Timer::Resume(number));
+                self.send_resume(number);
             }
             _ => {}
         }
     }
 
-    pub(super) fn on_settle_due(&mut self, number: u64, now: Tick) {
+    pub(super) fn on_resume_due(&mut self, number: u64, now: Tick) {
         let Some(request) = self.requests.get_mut(&number) else {
             return;
         };
-        let Phase::Settling { until, next, .. } = &mut request.phase else {
+        let Phase::Resuming { until, next, .. } = &mut request.phase else {
             return;
         };
         if now >= *until {
-            self.abandon(number);
+            self.cancel_attempt(number);
             let reason = "the target was lost, and what became of the attempt with it";
             self.on_attempt_failed(number, Verdict::MayHaveRun, reason, now);
             return;
         }
         if now >= *next {
-            *next = now + SETTLE_STEP;
-            self.timers.subscribe(*next, Timer::Settle(number));
-            self.ask_rest(number);
+            *next = now + RESUME_INTERVAL;
+            self.timers.subscribe(*next, Timer::Resume(number));
+            self.send_resume(number);
         }
     }
 }
--- a/src/entry/asking.rs
+++ b/src/entry/probing.rs
@@ -1,4 +1,4 @@
-//! Asking targets what they would do with a request, and choosing one.
+//! Probing: asks targets what they predict for a request, and chooses one.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,24 +12,24 @@
 use crate::time::Tick;
 use crate::wire::{Call, Probe, ProbeAnswer, Refusal, ToAgent};
 
-/// How long a target that said it is closed is not asked again.
-pub(super) const CLOSED_SPAN: Duration = Duration::from_secs(5);
+/// Time for which a target that reported itself closed is not probed.
+pub(super) const CLOSED_TTL: Duration = Duration::from_secs(5);
 
-/// Waves of questions after which a lack of time or room is believed.
-const BUSY_WAVES: u16 = 2;
+/// Maximum number of probe rounds if targets refuse for lack of time or queue space.
+const MAX_BUSY_ROUNDS: u16 = 2;
 
-/// Waves of questions after which any other refusal is believed.
-const MAX_WAVES: u16 = 8;
+/// Maximum number of probe rounds for any other reason.
+const MAX_ROUNDS: u16 = 8;
 
 impl EntryCore {
-    pub(super) fn ask(&mut self, number: u64, now: Tick) {
+    pub(super) fn probe_targets(&mut self, number: u64, now: Tick) {
         let Some(request) = self.requests.get_mut(&number) else {
             return;
         };
-        request.waves += 1;
+        request.rounds += 1;
         let is_wide = request.need.prompt >= self.tuning.wide_tokens;
         let count = if is_wide { self.tuning.wide_candidates } else { self.tuning.candidates };
-        // A long prompt is worth a link of its own, also the first of its kind.
+        // For a long prompt a new connection is worthwhile, even if its prefix has not been seen.
         let is_long = request.need.prompt > super::direct::MAX_DIRECT_TOKENS;
         let long_prefix = request.arrival.marks.peek_first().filter(|_| is_long);
         let query = RouteQuery {
@@ -43,8 +43,8 @@
         let pick = self.tuning.policy.pick.as_ref().filter(|_| !is_wide);
         let targets = match pick {
             Some(pick) => self.table.pick(&query, now, pick).into_iter().collect(),
-            // One that was busy or silent widens the choice.
-            None if request.waves > 1 || is_wide => {
+            // After a busy or silent target, the choice is no longer limited to the subset.
+            None if request.rounds > 1 || is_wide => {
                 self.table.candidates(&query, now, &mut self.rng)
             }
             None => self.table.subset_candidates(&query, now, &mut self.rng),
@@ -57,7 +57,7 @@
             Call::Model { model, .. } => model.clone(),
             Call::Plain { .. } => "".into(),
         };
-        let mut asked = Vec::with_capacity(targets.len());
+        let mut unanswered = Vec::with_capacity(targets.len());
         for target in &targets {
             let probe = Probe {
                 number: self.next_probe,
@@ -66,24 +66,24 @@
                 urgency: request.arrival.policy.urgency,
                 marks: request.arrival.marks.clone(),
             };
-            asked.push((probe.number, target.clone()));
+            unanswered.push((probe.number, target.clone()));
             self.probes.insert(probe.number, number);
             self.next_probe += 1;
             self.counts.probes += 1;
-            self.out.push(Effect::Send(target.clone(), ToAgent::Probe(probe)));
+            self.effects.push(Effect::Send(target.clone(), ToAgent::Probe(probe)));
         }
         request.log.push(now, DecisionStep::Asked { targets });
-        request.phase = Phase::Probing { asked, offers: Vec::new(), since: now };
-        let wave = request.waves;
-        self.timers.subscribe(now + self.tuning.probe_soft_timeout, Timer::Probe(number, wave));
-        self.timers.subscribe(now + self.tuning.probe_timeout, Timer::Probe(number, wave));
+        request.phase = Phase::Probing { unanswered, offers: Vec::new(), since: now };
+        let round = request.rounds;
+        self.timers.subscribe(now + self.tuning.probe_soft_timeout, Timer::Probe(number, round));
+        self.timers.subscribe(now + self.tuning.probe_timeout, Timer::Probe(number, round));
     }
 
     pub(super) fn on_probe_answer(&mut self, target: &Arc<str>, answer: ProbeAnswer, now: Tick) {
-        self.hear_version(answer.config_version);
+        self.learn_version(answer.config_version);
         self.history.set_wait(target, Duration::from_micros(answer.wait_us), now);
         if !answer.open {
-            self.table.mark_closed(target, now + CLOSED_SPAN);
+            self.table.mark_closed(target, now + CLOSED_TTL);
         }
         let Some(number) = self.probes.remove(&answer.number) else {
             return;
@@ -91,10 +91,10 @@
         let Some(request) = self.requests.get_mut(&number) else {
             return;
         };
-        let Phase::Probing { asked, offers, since } = &mut request.phase else {
+        let Phase::Probing { unanswered, offers, since } = &mut request.phase else {
             return;
         };
-        asked.retain(|(probe, _)| *probe != answer.number);
+        unanswered.retain(|(probe, _)| *probe != answer.number);
         let step = DecisionStep::Offered { target: target.clone(), answer: answer.clone() };
         request.log.push(now, step);
         let is_open = answer.open;
@@ -102,35 +102,35 @@
             offers.push(Offer { target: target.clone(), answer });
         }
         let is_late = now.since(*since) >= self.tuning.probe_soft_timeout;
-        if asked.is_empty() || (is_late && is_open) {
-            self.choose(number, now);
+        if unanswered.is_empty() || (is_late && is_open) {
+            self.choose_offer(number, now);
         }
     }
 
-    pub(super) fn on_probe_due(&mut self, number: u64, wave: u16, now: Tick) {
+    pub(super) fn on_probe_due(&mut self, number: u64, round: u16, now: Tick) {
         let Some(request) = self.requests.get_mut(&number) else {
             return;
         };
-        let Phase::Probing { asked, offers, since } = &mut request.phase else {
+        let Phase::Probing { unanswered, offers, since } = &mut request.phase else {
             return;
         };
-        if request.waves != wave {
+        if request.rounds != round {
             return;
         }
         let is_over = now.since(*since) >= self.tuning.probe_timeout;
         if is_over {
             let until = now + self.tuning.suspect_duration;
-            for (_, target) in asked.iter() {
+            for (_, target) in unanswered.iter() {
                 self.table.mark_suspect(target, until);
             }
         }
         if is_over || !offers.is_empty() {
-            self.choose(number, now);
+            self.choose_offer(number, now);
         }
     }
 
-    /// Takes the best of the offers.
-    pub(super) fn choose(&mut self, number: u64, now: Tick) {
+    /// Chooses the best offer, or forms a group if the request is too large for one engine.
+    pub(super) fn choose_offer(&mut self, number: u64, now: Tick) {
         let Some(request) = self.requests.get_mut(&number) else {
             return;
         };
@@ -141,36 +141,36 @@
         let phase = std::mem::replace(&mut request.phase, Phase::Backoff { until: now });
         let total = request.need.total();
         let is_model = matches!(request.arrival.call, Call::Model { .. });
-        // Of two that predict the same, the one with less from here: it can not
-        // know yet what was given to it a moment ago.
+        // Of two equal predictions, the target with fewer attempts of this entry wins: its
+        // prediction may not include yet what was dispatched to it a moment ago.
         offers.sort_by_cached_key(|offer| {
-            let own = self.attempts_at(&offer.target);
-            std::cmp::Reverse((predicted_us(&offer.answer), own, offer.target.clone()))
+            let own_attempts = self.attempts_at(&offer.target);
+            std::cmp::Reverse((predicted_us(&offer.answer), own_attempts, offer.target.clone()))
         });
         let capacity = offers.iter().map(|offer| offer.answer.capacity_tokens).max();
-        let is_too_large = is_model && capacity.is_some_and(|most| total > most);
+        let is_too_large = is_model && capacity.is_some_and(|max| total > max);
         self.forget_probes(&phase);
         if is_too_large {
             self.form_group(number, &offers, now);
             return;
         }
         if let Some(request) = self.requests.get_mut(&number) {
-            request.spare = offers;
+            request.spare_offers = offers;
         }
-        self.try_next(number, now);
+        self.dispatch_next(number, now);
     }
 
-    /// Gives the request to the next best target, or asks again.
-    pub(super) fn try_next(&mut self, number: u64, now: Tick) {
+    /// Dispatches the request to the next best target, or backs off if no offer is left.
+    pub(super) fn dispatch_next(&mut self, number: u64, now: Tick) {
         loop {
             let Some(request) = self.requests.get_mut(&number) else {
                 return;
             };
             if request.dispatches >= self.tuning.max_attempts {
-                self.give_up(number, now);
+                self.fail_overloaded(number, now);
                 return;
             }
-            let Some(offer) = request.spare.pop() else {
+            let Some(offer) = request.spare_offers.pop() else {
                 break;
             };
             if !self.links.contains_key(&offer.target) {
@@ -184,24 +184,24 @@
             self.dispatch(number, &offer.target, reason, now);
             return;
         }
-        self.ask_later(number, now);
+        self.back_off_or_fail(number, now);
     }
 
-    pub(super) fn ask_later(&mut self, number: u64, now: Tick) {
+    pub(super) fn back_off_or_fail(&mut self, number: u64, now: Tick) {
         let Some(request) = self.requests.get(&number) else {
             return;
         };
         let is_busy = matches!(request.refusal, Some((Refusal::TooLate | Refusal::QueueFull, _)));
-        let most = if is_busy { BUSY_WAVES } else { MAX_WAVES };
-        if request.waves >= most {
-            self.give_up(number, now);
+        let max = if is_busy { MAX_BUSY_ROUNDS } else { MAX_ROUNDS };
+        if request.rounds >= max {
+            self.fail_overloaded(number, now);
             return;
         }
         self.back_off(number, "all targets that were asked refused or were silent", now);
     }
 
-    /// Ends a request that nobody takes, at once, with when to come back.
-    pub(super) fn give_up(&mut self, number: u64, now: Tick) {
+    /// Fails a request that no target accepts, without further waiting and with a retry-after time.
+    pub(super) fn fail_overloaded(&mut self, number: u64, now: Tick) {
         let Some(request) = self.requests.get(&number) else {
             return;
         };
@@ -216,10 +216,10 @@
         let Some(request) = self.requests.get_mut(&number) else {
             return;
         };
-        let span = to_backoff(self.tuning.backoff, request.waves, &mut self.rng);
-        let until = now + span;
+        let wait = to_backoff(self.tuning.backoff, request.rounds, &mut self.rng);
+        let until = now + wait;
         request.phase = Phase::Backoff { until };
-        let span_ms = span.as_millis() as u64;
+        let span_ms = wait.as_millis() as u64;
         request.log.push(now, DecisionStep::Waited { cause: cause.to_owned(), span_ms });
         self.timers.subscribe(until, Timer::Backoff(number));
     }
--- a/src/entry/quarantine.rs
+++ b/src/entry/quarantine.rs
@@ -1,7 +1,9 @@
-//! Requests that end the engines that run them, as far as this entry sees it.
+//! Quarantine of requests that crash engines, as far as this entry observes it.
 //!
-//! Agents tell of the end of their engine after its attempts have failed. What is decided
-//! about a request is the same as for the relay.
+//! An agent reports the crash of its engine after it has reported the failed attempts. The
+//! decision about a request is the same as in the relay ([`QuarantineLedger`]).
+//!
+//! [`QuarantineLedger`]: crate::relay::decide::quarantine::QuarantineLedger
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,8 +16,8 @@
 use crate::wire::Call;
 
 impl EntryCore {
-    /// Time for which a request is held back, none where it may be given out.
-    pub(super) fn held_for(&mut self, arrival: &Arrival, now: Tick) -> Option<Duration> {
+    /// Time for which a request stays quarantined; `None` if it is not quarantined.
+    pub(super) fn quarantine_time(&mut self, arrival: &Arrival, now: Tick) -> Option<Duration> {
         if self.quarantine.is_empty() {
             return None;
         }
@@ -23,8 +25,8 @@
         self.quarantine.holds().held_for(&digest_of(arrival), now)
     }
 
-    /// Returns true where an open request is to be given out no more.
-    pub(super) fn is_held(&mut self, number: u64, now: Tick) -> bool {
+    /// Returns true if an open request is quarantined.
+    pub(super) fn is_quarantined(&mut self, number: u64, now: Tick) -> bool {
         if self.quarantine.is_empty() {
             return false;
         }
@@ -33,18 +35,19 @@
         digest.is_some_and(|digest| self.quarantine.holds().held_for(&digest, now).is_some())
     }
 
-    /// Notes that a request broke off at a target, which may have ended under it.
-    pub(super) fn note_broken(&mut self, number: u64, target: &Arc<str>, now: Tick) {
+    /// Records that an attempt broke off at a target, which may have crashed under it.
+    pub(super) fn record_interrupted(&mut self, number: u64, target: &Arc<str>, now: Tick) {
         let Some(request) = self.requests.get(&number) else { return };
         let digest = digest_of(&request.arrival);
-        let settled = request.first.map_or(Duration::ZERO, |first| now.since(first));
-        let life = self.life_of(target);
-        // Nobody else is told: entries do not speak with one another here.
-        let _ = self.quarantine.note_broken(digest, &life, settled, now);
+        let answer_age =
+            request.first_part_at.map_or(Duration::ZERO, |first_part_at| now.since(first_part_at));
+        let instance = self.target_instance(target);
+        // The report is dropped, because entries do not communicate with each other here.
+        let _ = self.quarantine.note_broken(digest, &instance, answer_age, now);
     }
 
-    /// Notes that a target answered a request, which does not end those that run it then.
-    pub(super) fn note_served(&mut self, number: u64) {
+    /// Records that a target answered a request, so the request does not crash its targets.
+    pub(super) fn record_answered(&mut self, number: u64) {
         if self.quarantine.is_empty() {
             return;
         }
@@ -54,18 +57,18 @@
         }
     }
 
-    /// Notes an agent's word that its engine has ended.
-    pub(super) fn on_target_lost(&mut self, target: &Arc<str>, now: Tick) {
-        let life = self.life_of(target);
-        let _ = self.quarantine.note_ended(&life, now);
-        *self.lives.entry(target.clone()).or_default() += 1;
+    /// Records an agent's report that its engine crashed.
+    pub(super) fn on_target_crash(&mut self, target: &Arc<str>, now: Tick) {
+        let instance = self.target_instance(target);
+        let _ = self.quarantine.note_ended(&instance, now);
+        *self.crash_counts.entry(target.clone()).or_default() += 1;
         self.quarantine.decide(now);
     }
 
-    /// The life that a target is in, by the ends that its agent has told of.
-    fn life_of(&self, target: &Arc<str>) -> TargetLife {
-        let ends = self.lives.get(target).copied().unwrap_or(0);
-        TargetLife { incarnation: target.clone(), born_ms: ends }
+    /// The current instance of a target, identified by the number of reported crashes.
+    fn target_instance(&self, target: &Arc<str>) -> TargetLife {
+        let crashes = self.crash_counts.get(target).copied().unwrap_or(0);
+        TargetLife { incarnation: target.clone(), born_ms: crashes }
     }
 }
 
--- a/src/entry/request.rs
+++ b/src/entry/request.rs
@@ -1,9 +1,9 @@
-//! One caller's request at an entry, from its arrival to its final answer.
+//! State of a request at an entry, from its admission to its final answer.
 
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::admission::AgentShare;
+use super::admission::AgentGrant;
 use super::event::Arrival;
 use super::why::{DecisionLog, DecisionStep};
 use crate::id::{AttemptKey, Incarnation};
@@ -11,36 +11,36 @@
 use crate::verdict::Verdict;
 use crate::wire::{ProbeAnswer, Refusal, TokenNeed};
 
-/// What a target said when it was asked.
+/// A target's answer to a probe.
 #[derive(Clone, Debug)]
 pub(super) struct Offer {
     pub(super) target: Arc<str>,
     pub(super) answer: ProbeAnswer,
 }
 
-/// A target that holds memory for a request.
+/// A member of an engine group: a target that holds memory for a request.
 #[derive(Clone, Debug)]
 pub(super) struct Member {
     pub(super) target: Arc<str>,
     pub(super) tokens: u64,
-    /// Address of its engine, once memory is held there.
+    /// Address of its engine; `None` until memory is held there.
     pub(super) engine: Option<Arc<str>>,
-    /// When it last said so.
-    pub(super) held: Tick,
+    /// Time at which the target last confirmed the hold.
+    pub(super) held_at: Tick,
 }
 
-/// Where a request stands.
+/// Progress of a request.
 #[derive(Clone, Debug)]
 pub(super) enum Phase {
-    /// Targets are being asked.
-    Probing { asked: Vec<(u64, Arc<str>)>, offers: Vec<Offer>, since: Tick },
-    /// Memory on several engines is being asked for, one after the other.
+    /// Targets are being probed.
+    Probing { unanswered: Vec<(u64, Arc<str>)>, offers: Vec<Offer>, since: Tick },
+    /// Memory is being reserved on several engines, one after the other.
     Holding { next: usize, since: Tick },
-    /// A target has it.
+    /// A target has the live attempt.
     Running { target: Arc<str>, incarnation: Incarnation },
-    /// The connection to its target was lost and its fate is being asked for.
-    Settling { target: Arc<str>, incarnation: Incarnation, until: Tick, next: Tick },
-    /// It waits before targets are asked again.
+    /// The connection to the target was lost, and the entry tries to resume the attempt.
+    Resuming { target: Arc<str>, incarnation: Incarnation, until: Tick, next: Tick },
+    /// The request waits before targets are probed again.
     Backoff { until: Tick },
 }
 
@@ -48,58 +48,63 @@
 pub(super) struct Request {
     pub(super) arrival: Box<Arrival>,
     pub(super) need: TokenNeed,
-    /// The agent that let it in, none where the own share did.
-    pub(super) agent_share: Option<AgentShare>,
+    /// The agent that admitted the request; `None` if the entry's own share of the limits did.
+    pub(super) agent_grant: Option<AgentGrant>,
     pub(super) deadline: Tick,
     pub(super) phase: Phase,
     /// Number of the live attempt.
     pub(super) attempt: u16,
-    /// Attempts that went to a target.
+    /// Number of dispatched attempts.
     pub(super) dispatches: u16,
-    /// Offers that were not taken, the best one last.
-    pub(super) spare: Vec<Offer>,
+    /// Offers that were not taken, with the best one last.
+    pub(super) spare_offers: Vec<Offer>,
     pub(super) tried: Vec<Arc<str>>,
     pub(super) members: Vec<Member>,
-    /// Hash of the prompt's beginning, where that has come before.
+    /// Hash of the prompt's first prefix, if that has been seen before.
     pub(super) prefix: Option<u64>,
-    /// The live attempt was given out without asking.
+    /// Whether the live attempt was dispatched without probing.
     pub(super) is_direct: bool,
-    /// Waves of questions so far.
-    pub(super) waves: u16,
-    /// Bytes of the answer that the caller has.
-    pub(super) sent: u64,
+    /// Number of probe rounds so far.
+    pub(super) rounds: u16,
+    /// Bytes of the answer that were sent to the caller.
+    pub(super) sent_bytes: u64,
     pub(super) has_head: bool,
-    pub(super) first: Option<Tick>,
-    /// What is known over all attempts that have ended.
+    pub(super) first_part_at: Option<Tick>,
+    /// Verdict over all attempts that have ended.
     pub(super) verdict: Verdict,
-    /// The last refusal and the wait it asked for.
+    /// The last refusal and its retry-after time.
     pub(super) refusal: Option<(Refusal, Duration)>,
     pub(super) log: DecisionLog,
 }
 
 impl Request {
-    pub(super) fn new(arrival: Box<Arrival>, need: TokenNeed, now: Tick, limit: Duration) -> Self {
+    pub(super) fn new(
+        arrival: Box<Arrival>,
+        need: TokenNeed,
+        now: Tick,
+        time_limit: Duration,
+    ) -> Self {
         let mut log = DecisionLog::new(now);
         let account = arrival.policy.name.clone();
-        let limit_ms = limit.as_millis() as u64;
+        let limit_ms = time_limit.as_millis() as u64;
         log.push(now, DecisionStep::Admitted { account, tokens: need.prompt, limit_ms });
         Request {
             arrival,
             need,
-            agent_share: None,
-            deadline: now + limit,
+            agent_grant: None,
+            deadline: now + time_limit,
             phase: Phase::Backoff { until: now },
             attempt: 0,
             dispatches: 0,
-            spare: Vec::new(),
+            spare_offers: Vec::new(),
             tried: Vec::new(),
             members: Vec::new(),
             prefix: None,
             is_direct: false,
-            waves: 0,
-            sent: 0,
+            rounds: 0,
+            sent_bytes: 0,
             has_head: false,
-            first: None,
+            first_part_at: None,
             verdict: Verdict::NotRun,
             refusal: None,
             log,
@@ -111,16 +116,16 @@
         AttemptKey(self.arrival.number, self.attempt)
     }
 
-    /// Returns true once a part of the answer went to the caller.
-    pub(super) fn has_begun(&self) -> bool {
-        self.sent > 0 || self.has_head
+    /// Returns true if a part of the answer was sent to the caller.
+    pub(super) fn has_answer_started(&self) -> bool {
+        self.sent_bytes > 0 || self.has_head
     }
 
-    /// The target that has the live attempt, and the life it was meant for.
-    pub(super) fn holder(&self) -> Option<(&Arc<str>, Incarnation)> {
+    /// The target that has the live attempt, and the incarnation to which it was dispatched.
+    pub(super) fn attempt_target(&self) -> Option<(&Arc<str>, Incarnation)> {
         match &self.phase {
             Phase::Running { target, incarnation }
-            | Phase::Settling { target, incarnation, .. } => Some((target, *incarnation)),
+            | Phase::Resuming { target, incarnation, .. } => Some((target, *incarnation)),
             _ => None,
         }
     }
