--- a/src/entry/account.rs
+++ b/src/entry/account.rs
@@ -1,4 +1,4 @@
-//! Client accounts: who calls, and how much of it is let in.
+//! Client accounts: authentication by key, and the entry's own share of their limits.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -12,10 +12,10 @@
 use crate::hex::to_hex;
 use crate::time::Tick;
 
-/// When to come back where an entry has no share and no agent is known.
+/// Retry-after time if the entry has no share of an account's limits and knows no agent.
 const NO_SHARE_RETRY: Duration = Duration::from_secs(1);
 
-/// Accounts by the hash of their keys.
+/// Client accounts by the hash of their keys.
 #[derive(Clone, Debug, Default)]
 pub struct AccountTable {
     by_key: HashMap<Arc<str>, Rc<AccountPolicy>>,
@@ -23,7 +23,7 @@
 }
 
 impl AccountTable {
-    /// Builds the table of a configuration.
+    /// Builds the table from a configuration.
     #[must_use]
     pub fn from_config(config: &Arc<Config>) -> Self {
         let mut by_key = HashMap::new();
@@ -41,20 +41,20 @@
 
     /// Finds the account of a secret.
     ///
-    /// The look-up goes by the secret's SHA-256, so that its timing tells
-    /// nothing of the stored keys.
+    /// The lookup uses the secret's SHA-256, so that its timing reveals nothing about the stored
+    /// keys.
     #[must_use]
     pub fn find(&self, secret: &str) -> Option<Rc<AccountPolicy>> {
         self.by_key.get(&*to_key(secret)).cloned()
     }
 
-    /// The configuration that the table was built of.
+    /// The configuration from which the table was built.
     #[must_use]
     pub fn config(&self) -> &Arc<Config> {
         &self.config
     }
 
-    /// Returns true where `path` of a plain service may run once only.
+    /// Returns true if requests to `path` of a plain service may run only once.
     #[must_use]
     pub fn is_once_only(&self, service: &str, path: &str) -> bool {
         let Some(service) = self.config.service(service) else {
@@ -67,14 +67,14 @@
         })
     }
 
-    /// Returns true where `name` is a plain service.
+    /// Returns true if `name` is a plain service.
     #[must_use]
     pub fn is_plain(&self, name: &str) -> bool {
         self.config.service(name).is_some_and(|service| service.kind == ServiceKind::Plain)
     }
 }
 
-/// The form in which a secret is declared: its SHA-256 in hexadecimal.
+/// The form in which the configuration holds a secret: its SHA-256 in hexadecimal.
 #[must_use]
 pub fn to_key(secret: &str) -> String {
     to_hex(&Sha256::digest(secret.as_bytes()))
@@ -86,76 +86,78 @@
     usage: ShareUsage,
 }
 
-/// Why a request is not let in by this entry's own share.
+/// Refusal of a request by this entry's own share of an account's limits.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitFault {
-    /// When the own share has room again.
-    pub retry: Duration,
-    /// What an agent may give of the limits beside the shares of all entries, none where the
-    /// shares are all.
+    /// Time after which the entry's own share has room again.
+    pub retry_after: Duration,
+    /// Part of the limits that the shares of all entries leave over and that an agent may grant;
+    /// `None` if they leave nothing.
     pub rest: Option<AccountShare>,
 }
 
-/// The share of one entry of `entries`, and what is left of the limits beside all shares.
+/// Splits an account's limits into the share of one of `entries` entries and the rest that all
+/// shares leave over.
 ///
-/// A share is whole, so that the sum of all is no more than the limits. Where one of the two
-/// limits leaves no whole share, an agent gives all of both.
-fn split(policy: &AccountPolicy, entries: usize) -> (AccountShare, AccountShare) {
-    let all =
+/// Shares are rounded down to whole numbers, so that their sum does not exceed the limits. If the
+/// share of one of the two limits is zero, an agent grants all of both.
+fn split_limits(policy: &AccountPolicy, entries: usize) -> (AccountShare, AccountShare) {
+    let total =
         AccountShare { per_second: policy.requests_per_second, concurrent: policy.concurrent };
-    let nothing = AccountShare { per_second: 0.0, concurrent: 0 };
+    let empty = AccountShare { per_second: 0.0, concurrent: 0 };
     if entries <= 1 {
-        return (all, nothing);
+        return (total, empty);
     }
-    let own = AccountShare {
-        per_second: (all.per_second / entries as f64).floor(),
-        concurrent: all.concurrent / entries as u64,
+    let own_share = AccountShare {
+        per_second: (total.per_second / entries as f64).floor(),
+        concurrent: total.concurrent / entries as u64,
     };
-    if own.is_empty() {
-        return (nothing, all);
+    if own_share.is_empty() {
+        return (empty, total);
     }
     let rest = AccountShare {
-        per_second: all.per_second - own.per_second * entries as f64,
-        concurrent: all.concurrent - own.concurrent * entries as u64,
+        per_second: total.per_second - own_share.per_second * entries as f64,
+        concurrent: total.concurrent - own_share.concurrent * entries as u64,
     };
-    (own, rest)
+    (own_share, rest)
 }
 
-/// What each account has in flight of this entry's share, and its rate.
+/// Each account's requests in flight and request rate within this entry's share.
 ///
-/// Limits hold over the fleet. Each entry lets in its whole share by itself.
+/// Limits apply to the whole fleet. Each entry admits requests within its share by itself.
 #[derive(Debug, Default)]
 pub struct AccountLimits {
     usage: HashMap<Arc<str>, AccountUsage>,
 }
 
 impl AccountLimits {
-    /// Lets a request in by the own share of an account.
+    /// Admits a request within the entry's own share of the account's limits.
     ///
     /// # Errors
     ///
-    /// The time after which the share has room again, and what an agent may give.
+    /// The share has no room: the time after which it has, and what an agent may grant.
     pub fn admit(
         &mut self,
         policy: &AccountPolicy,
         entries: usize,
         now: Tick,
     ) -> Result<(), LimitFault> {
-        let (own, rest) = split(policy, entries);
+        let (own_share, rest) = split_limits(policy, entries);
         let rest = (!rest.is_empty()).then_some(rest);
-        if own.is_empty() {
-            return Err(LimitFault { retry: NO_SHARE_RETRY, rest });
+        if own_share.is_empty() {
+            return Err(LimitFault { retry_after: NO_SHARE_RETRY, rest });
         }
-        // What a former life of this entry let in is at most a second's share.
-        let fresh = || AccountUsage { in_flight: 0, usage: ShareUsage::full() };
-        let known = self.usage.entry(policy.name.clone()).or_insert_with(fresh);
-        let admitted = known.usage.admit(own, known.in_flight, now);
-        admitted.map_err(|retry| LimitFault { retry, rest })?;
-        known.in_flight += 1;
+        // An earlier incarnation of this entry may have admitted up to a second's share just
+        // before, so the limit is exceeded by at most that after a restart.
+        let new_usage = || AccountUsage { in_flight: 0, usage: ShareUsage::full() };
+        let account_usage = self.usage.entry(policy.name.clone()).or_insert_with(new_usage);
+        let admitted = account_usage.usage.admit(own_share, account_usage.in_flight, now);
+        admitted.map_err(|retry_after| LimitFault { retry_after, rest })?;
+        account_usage.in_flight += 1;
         Ok(())
     }
 
-    /// Notes the end of a request that was let in.
+    /// Records the end of an admitted request.
     pub fn release(&mut self, account: &str) {
         if let Some(usage) = self.usage.get_mut(account) {
             usage.in_flight -= 1;
--- a/src/entry/admin.rs
+++ b/src/entry/admin.rs
@@ -1,4 +1,4 @@
-//! The administration API of an entry.
+//! Administration API of an entry.
 
 use std::rc::Rc;
 use std::str::FromStr;
@@ -25,16 +25,16 @@
     Answer, accept_next, answer, answer_fault, answer_json, bearer, read_body, serve_connection,
 };
 
-/// Largest configuration, in bytes.
-const MAX_CONFIG: usize = 4 * 1024 * 1024;
+/// Maximum size of a configuration, in bytes.
+const MAX_CONFIG_BYTES: usize = 4 * 1024 * 1024;
 
-/// Longest time for an operator's body to arrive.
-const BODY_LIMIT: Duration = Duration::from_secs(10);
+/// Timeout for reading an operator's request body.
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Longest time for another entry to answer.
-const FORWARD_LIMIT: Duration = Duration::from_secs(3);
+/// Timeout of a request that is forwarded to another entry.
+const FORWARD_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Accepts operators until the task is ended.
+/// Accepts connections of operators until the task is aborted.
 pub(super) async fn serve(shared: Rc<EntryShared>, listener: TcpListener) {
     loop {
         let stream = accept_next(&listener).await;
@@ -45,7 +45,7 @@
     }
 }
 
-/// A refusal of the administration API.
+/// An error response of the administration API.
 struct AdminFault {
     status: StatusCode,
     code: &'static str,
@@ -59,37 +59,37 @@
     }
 }
 
-/// One process as `status` shows it.
+/// Status of an entry, as the `status` command shows it.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct EntryStatus {
     /// Name of the entry.
     pub process: String,
-    /// Whether it serves callers.
+    /// Whether the entry serves callers.
     pub ready: bool,
-    /// Whether a planned stop has begun.
+    /// Whether the entry is draining.
     pub stopping: bool,
     /// Configuration version in force.
     pub config_version: ConfigVersion,
-    /// Requests without a final answer.
+    /// Number of requests without a final answer.
     pub open_requests: usize,
-    /// Targets that the platform lists.
+    /// Number of targets that the platform lists.
     pub known_targets: usize,
-    /// Requests let in.
+    /// Number of admitted requests.
     pub admitted: u64,
-    /// Whole answers.
+    /// Number of requests answered completely.
     pub finished: u64,
-    /// Final failures.
+    /// Number of requests that failed after they were admitted.
     pub failed: u64,
-    /// Longest turn of the loop, in microseconds.
+    /// Longest iteration of the event loop, in microseconds.
     pub longest_turn_us: u64,
 }
 
-/// The version that a change was accepted as.
+/// Result of an accepted change of the configuration.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct AppliedConfig {
-    /// The version.
+    /// Version of the new configuration; for a dry run, the version it was checked against.
     pub version: ConfigVersion,
-    /// Nothing was changed; the document was only checked.
+    /// Whether the document was only checked and nothing was changed.
     pub dry_run: bool,
 }
 
@@ -104,10 +104,10 @@
 }
 
 fn authorize(shared: &EntryShared, request: &Request<Incoming>) -> Result<(), AdminFault> {
-    let wanted = shared.settings.admin_key_sha256.as_deref().unwrap_or("");
+    let expected = shared.settings.admin_key_sha256.as_deref().unwrap_or("");
     let given = bearer(request.headers()).map(to_key).unwrap_or_default();
-    let is_same: bool = wanted.as_bytes().ct_eq(given.as_bytes()).into();
-    if is_same && !wanted.is_empty() {
+    let is_match: bool = expected.as_bytes().ct_eq(given.as_bytes()).into();
+    if is_match && !expected.is_empty() {
         return Ok(());
     }
     Err(AdminFault::new(StatusCode::UNAUTHORIZED, "unknown_key", "not an operator's key"))
@@ -122,7 +122,7 @@
         (&Method::PUT, "/admin/v1/config") => apply_config(shared, request).await,
         (&Method::GET, "/admin/v1/timeline") => Ok(show_timeline(shared, &request)),
         (&Method::GET, _) if path.starts_with("/admin/v1/why/") => {
-            show_why(shared, path.trim_start_matches("/admin/v1/why/"), &request).await
+            show_decisions(shared, path.trim_start_matches("/admin/v1/why/"), &request).await
         }
         _ => {
             Err(AdminFault::new(StatusCode::NOT_FOUND, "unknown_path", format!("no path `{path}`")))
@@ -134,7 +134,7 @@
     let process = shared.process.to_string();
     let (ready, stopping) = (shared.is_ready(), shared.draining.get());
     let longest_turn_us = shared.meter.longest().as_micros() as u64;
-    let status = shared.ask(move |core| {
+    let status = shared.query_core(move |core| {
         let counts = core.counts();
         EntryStatus {
             process,
@@ -154,7 +154,7 @@
 }
 
 async fn show_entries(shared: &Rc<EntryShared>) -> Result<Answer, AdminFault> {
-    let entries = shared.ask(|core| core.table().entry_addresses()).await;
+    let entries = shared.query_core(|core| core.table().entry_addresses()).await;
     Ok(answer_json(StatusCode::OK, &entries.ok_or_else(stopping_fault)?))
 }
 
@@ -181,9 +181,10 @@
 ) -> Result<Answer, AdminFault> {
     let expected = read_if_match(&request)?;
     let dry_run = request.uri().query().is_some_and(|query| query.contains("dry_run=true"));
-    let body = read_body(request.into_body(), MAX_CONFIG, BODY_LIMIT).await.map_err(|_| {
-        AdminFault::new(StatusCode::BAD_REQUEST, "broken_body", "the body could not be read")
-    })?;
+    let body =
+        read_body(request.into_body(), MAX_CONFIG_BYTES, BODY_TIMEOUT).await.map_err(|_| {
+            AdminFault::new(StatusCode::BAD_REQUEST, "broken_body", "the body could not be read")
+        })?;
     let text = std::str::from_utf8(&body)
         .map_err(|_| AdminFault::new(StatusCode::BAD_REQUEST, "bad_config", "not UTF-8 text"))?;
     let config = Config::from_toml(text).map_err(|error| {
@@ -218,13 +219,13 @@
 }
 
 #[derive(Serialize)]
-struct WhyAnswer<'a> {
+struct DecisionsAnswer<'a> {
     request: &'a str,
     #[serde(flatten)]
     log: DecisionLog,
 }
 
-async fn show_why(
+async fn show_decisions(
     shared: &Rc<EntryShared>,
     text: &str,
     request: &Request<Incoming>,
@@ -232,15 +233,15 @@
     let id = RequestId::from_str(text)
         .map_err(|error| AdminFault::new(StatusCode::BAD_REQUEST, "bad_id", error.to_string()))?;
     if id.owner.name != shared.process.name {
-        return forward_why(shared, &id, text, request).await;
+        return forward_decisions_query(shared, &id, text, request).await;
     }
     if id.owner != shared.process {
         let text = "the entry has restarted since; the record went with its earlier life";
         return Err(AdminFault::new(StatusCode::NOT_FOUND, "no_record", text));
     }
-    let found = shared.ask(move |core| core.decision_log(id.number).cloned()).await;
+    let found = shared.query_core(move |core| core.decision_log(id.number).cloned()).await;
     match found.ok_or_else(stopping_fault)? {
-        Some(log) => Ok(answer_json(StatusCode::OK, &WhyAnswer { request: text, log })),
+        Some(log) => Ok(answer_json(StatusCode::OK, &DecisionsAnswer { request: text, log })),
         None => Err(AdminFault::new(
             StatusCode::NOT_FOUND,
             "no_record",
@@ -249,26 +250,26 @@
     }
 }
 
-/// Asks the entry that holds the record.
-async fn forward_why(
+/// Forwards the query to the entry that holds the decisions.
+async fn forward_decisions_query(
     shared: &Rc<EntryShared>,
     id: &RequestId,
     text: &str,
     request: &Request<Incoming>,
 ) -> Result<Answer, AdminFault> {
     let name = id.owner.name.clone();
-    let address = shared.ask(move |core| core.table().entry_addresses().remove(&name)).await;
+    let address = shared.query_core(move |core| core.table().entry_addresses().remove(&name)).await;
     let Some(address) = address.ok_or_else(stopping_fault)? else {
         let text = format!("entry {} is not listed any more; the record went with it", id.owner);
         return Err(AdminFault::new(StatusCode::NOT_FOUND, "no_record", text));
     };
-    let mut question = Request::new(full(""));
-    *question.uri_mut() =
+    let mut forwarded = Request::new(full(""));
+    *forwarded.uri_mut() =
         format!("http://{address}/admin/v1/why/{text}").parse().unwrap_or_default();
     if let Some(key) = request.headers().get(AUTHORIZATION) {
-        question.headers_mut().insert(AUTHORIZATION, key.clone());
+        forwarded.headers_mut().insert(AUTHORIZATION, key.clone());
     }
-    let response = HttpClient::new(0).call(question, FORWARD_LIMIT).await;
+    let response = HttpClient::new(0).call(forwarded, FORWARD_TIMEOUT).await;
     let response = response.map_err(|error| {
         AdminFault::new(StatusCode::BAD_GATEWAY, "entry_away", error.to_string())
     })?;
@@ -277,8 +278,8 @@
 
 fn show_timeline(shared: &EntryShared, request: &Request<Incoming>) -> Answer {
     let query = request.uri().query().unwrap_or("");
-    let wanted = query.split('&').find_map(|pair| pair.strip_prefix("request="));
-    let line = shared.timeline.borrow();
-    let records: Vec<_> = line.select(wanted.unwrap_or("")).collect();
+    let requested = query.split('&').find_map(|pair| pair.strip_prefix("request="));
+    let timeline = shared.timeline.borrow();
+    let records: Vec<_> = timeline.select(requested.unwrap_or("")).collect();
     answer_json(StatusCode::OK, &records)
 }
--- a/src/entry/admission.rs
+++ b/src/entry/admission.rs
@@ -50,16 +50,17 @@
         now: Tick,
     ) {
         let entries = self.table.live_entries();
-        let LimitFault { retry, rest } = match self.limits.admit(&arrival.policy, entries, now) {
-            Ok(()) => return self.start_request(arrival, need, time_limit, None, now),
-            Err(fault) => fault,
-        };
+        let LimitFault { retry_after, rest } =
+            match self.limits.admit(&arrival.policy, entries, now) {
+                Ok(()) => return self.start_request(arrival, need, time_limit, None, now),
+                Err(fault) => fault,
+            };
         let agent = rest.and_then(|rest| {
             let agent = self.table.quota_target(&arrival.policy.name)?;
             Some((rest, agent))
         });
         let Some((rest, agent)) = agent else {
-            return self.refuse_over_limit(arrival.number, retry);
+            return self.refuse_over_limit(arrival.number, retry_after);
         };
         let number = arrival.number;
         self.send_account_query(&agent, &arrival, rest, false);
@@ -143,10 +144,10 @@
         }
     }
 
-    fn refuse_over_limit(&mut self, number: u64, retry: Duration) {
-        self.counts.limited += 1;
+    fn refuse_over_limit(&mut self, number: u64, retry_after: Duration) {
+        self.counts.over_limit += 1;
         let text = "the client account is over its limit";
-        let failure = not_run_failure(FailureCode::LimitExceeded, text, retry);
+        let failure = not_run_failure(FailureCode::LimitExceeded, text, retry_after);
         self.effects.push(Effect::Reply(number, Reply::Failed(failure)));
     }
 
--- a/src/entry/answers.rs
+++ b/src/entry/answers.rs
@@ -1,4 +1,4 @@
-//! What callers are answered: whole, as a stream, or with a failure.
+//! Answers to callers: whole, as a stream of server-sent events, or a failure.
 
 use bytes::Bytes;
 use hyper::header::{CONTENT_TYPE, HeaderValue};
@@ -7,7 +7,7 @@
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 
-use super::caller::CallerLink;
+use super::caller::CallerHandle;
 use super::event::{Failure, FailureCode, Reply};
 use crate::verdict::Verdict;
 use crate::web::{Answer, AnswerBody, FaultBody, PartStream, answer, answer_fault, set_verdict};
@@ -31,13 +31,13 @@
     answer_fault(status, &code, &failure.message, failure.verdict, id, failure.retry_after)
 }
 
-/// What the answer of one request looks like.
-pub(super) struct AnswerShape {
+/// Format of the answer to one model request.
+pub(super) struct AnswerFormat {
     pub(super) is_chat: bool,
     pub(super) id: String,
     pub(super) model: String,
-    /// A stream ends with a part of its own that tells its tokens.
-    pub(super) has_usage_part: bool,
+    /// Whether a stream ends with a separate event that reports the token usage.
+    pub(super) has_usage_event: bool,
 }
 
 #[derive(Serialize)]
@@ -92,23 +92,23 @@
     }
 }
 
-impl AnswerShape {
-    fn to_json(&self, text: &[u8], done: Option<&Completion>, is_part: bool) -> Vec<u8> {
+impl AnswerFormat {
+    fn to_json(&self, text: &[u8], done: Option<&Completion>, is_chunk: bool) -> Vec<u8> {
         let text = String::from_utf8_lossy(text);
         let chat = || Some(ChatText { role: "assistant", content: &text });
         let choice = CompletionChoice {
             index: 0,
             text: (!self.is_chat).then_some(&*text),
-            message: if self.is_chat && !is_part { chat() } else { None },
-            delta: if self.is_chat && is_part { chat() } else { None },
+            message: if self.is_chat && !is_chunk { chat() } else { None },
+            delta: if self.is_chat && is_chunk { chat() } else { None },
             finish_reason: done.map(|done| &*done.finish_reason),
         };
-        let has_usage = !(is_part && self.has_usage_part);
+        let has_usage = !(is_chunk && self.has_usage_event);
         let usage = done.filter(|_| has_usage).map(CompletionUsage::from_completion);
-        self.to_body(vec![choice], usage, is_part)
+        self.to_body(vec![choice], usage, is_chunk)
     }
 
-    /// The part of a stream that tells only its tokens.
+    /// The event of a stream that reports only the token usage.
     fn to_usage_event(&self, done: &Completion) -> Bytes {
         let usage = Some(CompletionUsage::from_completion(done));
         to_sse(&self.to_body(Vec::new(), usage, true))
@@ -118,15 +118,15 @@
         &self,
         choices: Vec<CompletionChoice<'_>>,
         usage: Option<CompletionUsage>,
-        is_part: bool,
+        is_chunk: bool,
     ) -> Vec<u8> {
-        let object = match (self.is_chat, is_part) {
+        let object = match (self.is_chat, is_chunk) {
             (true, true) => "chat.completion.chunk",
             (true, false) => "chat.completion",
             (false, _) => "text_completion",
         };
         let body = CompletionBody { id: &self.id, object, model: &self.model, choices, usage };
-        // Texts and numbers always have a form in JSON.
+        // Strings and numbers always serialize to JSON.
         serde_json::to_vec(&body).unwrap_or_default()
     }
 
@@ -140,9 +140,9 @@
 }
 
 pub(super) async fn answer_whole(
-    mut caller: CallerLink,
+    mut caller: CallerHandle,
     first: Reply,
-    shape: &AnswerShape,
+    answer_format: &AnswerFormat,
 ) -> Answer {
     let mut text = Vec::new();
     let mut reply = first;
@@ -150,32 +150,36 @@
         match reply {
             Reply::Text(part) => text.extend_from_slice(&part),
             Reply::Done(done) => {
-                let json = shape.to_json(&text, Some(&done), false);
+                let json = answer_format.to_json(&text, Some(&done), false);
                 let mut response = answer(StatusCode::OK, "application/json", json);
-                set_verdict(response.headers_mut(), Verdict::Ran, &shape.id);
+                set_verdict(response.headers_mut(), Verdict::Ran, &answer_format.id);
                 return response;
             }
-            Reply::Failed(failure) => return answer_failure(&failure, &shape.id),
+            Reply::Failed(failure) => return answer_failure(&failure, &answer_format.id),
             Reply::Head(..) => {}
         }
-        reply = caller.next().await;
+        reply = caller.next_reply().await;
     }
 }
 
-pub(super) fn answer_stream(mut caller: CallerLink, first: Reply, shape: AnswerShape) -> Answer {
-    let (part_in, parts) = mpsc::unbounded_channel();
-    let id = shape.id.clone();
-    let pump = spawn_local(async move {
+pub(super) fn answer_stream(
+    mut caller: CallerHandle,
+    first: Reply,
+    answer_format: AnswerFormat,
+) -> Answer {
+    let (part_sender, parts) = mpsc::unbounded_channel();
+    let id = answer_format.id.clone();
+    let writer = spawn_local(async move {
         let mut reply = first;
         loop {
-            let is_over = push_events(&part_in, &reply, &shape);
-            if is_over {
+            let is_last = send_events(&part_sender, &reply, &answer_format);
+            if is_last {
                 return;
             }
-            reply = caller.next().await;
+            reply = caller.next_reply().await;
         }
     });
-    let guard = Box::new(AbortGuard(pump));
+    let guard = Box::new(AbortGuard(writer));
     let mut response = Response::new(AnswerBody::Parts(PartStream { parts, _guard: guard }));
     let headers = response.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/event-stream"));
@@ -184,7 +188,7 @@
     response
 }
 
-/// Ends a task when the body that it feeds is dropped.
+/// Aborts a task when the response body that it writes to is dropped.
 struct AbortGuard(tokio::task::JoinHandle<()>);
 
 impl Drop for AbortGuard {
@@ -193,25 +197,29 @@
     }
 }
 
-/// Writes a reply as events, true after the last one.
-fn push_events(parts: &mpsc::UnboundedSender<Bytes>, reply: &Reply, shape: &AnswerShape) -> bool {
-    // A caller that went away drops the body, which ends this task.
+/// Writes a reply as events; returns true after the last one.
+fn send_events(
+    parts: &mpsc::UnboundedSender<Bytes>,
+    reply: &Reply,
+    answer_format: &AnswerFormat,
+) -> bool {
+    // If the caller disconnects, the body is dropped, which aborts this task.
     match reply {
         Reply::Text(text) => {
-            let _ = parts.send(shape.to_event(text, None));
+            let _ = parts.send(answer_format.to_event(text, None));
             false
         }
         Reply::Done(done) => {
-            let _ = parts.send(shape.to_event(b"", Some(done)));
-            if shape.has_usage_part {
-                let _ = parts.send(shape.to_usage_event(done));
+            let _ = parts.send(answer_format.to_event(b"", Some(done)));
+            if answer_format.has_usage_event {
+                let _ = parts.send(answer_format.to_usage_event(done));
             }
             let _ = parts.send(Bytes::from_static(b"data: [DONE]\n\n"));
             true
         }
         Reply::Failed(failure) => {
             let code = failure.code.to_string();
-            let body = FaultBody::new(&code, &failure.message, failure.verdict, &shape.id);
+            let body = FaultBody::new(&code, &failure.message, failure.verdict, &answer_format.id);
             let json = serde_json::to_vec(&body).unwrap_or_default();
             let _ = parts.send(Bytes::from_static(b"event: error\n"));
             let _ = parts.send(to_sse(&json));
--- a/src/entry/ask.rs
+++ b/src/entry/ask.rs
@@ -1,4 +1,4 @@
-//! Callers' bodies: what they ask for, read without copying the prompt.
+//! Parsing of completion requests, without copying the prompt.
 
 use std::borrow::Cow;
 use std::fmt;
@@ -12,50 +12,50 @@
 use crate::prefix::{MarkBuilder, PrefixMarks};
 use crate::verdict::Verdict;
 
-/// Most tokens of an answer where the caller states none.
+/// Maximum number of tokens in an answer if the request does not set it.
 const DEFAULT_ANSWER_TOKENS: u64 = 256;
 
-/// Most tokens of an answer at all.
+/// Largest accepted maximum number of tokens in an answer.
 const MAX_ANSWER_TOKENS: u64 = 32_768;
 
-/// A request that is refused before anything is done about it.
+/// Rejection of a request before it reaches the core.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct AskFault {
+pub struct RequestFault {
     /// HTTP status.
     pub status: u16,
-    /// Code for programs.
+    /// Machine-readable code.
     pub code: &'static str,
-    /// For a reader.
+    /// Description for human readers.
     pub message: String,
-    /// Whether it may have run: another request with its key may have.
+    /// Whether the request may have run; an earlier request with the same key may have.
     pub verdict: Verdict,
-    /// When to come back.
+    /// Time after which the caller may retry.
     pub retry_after: Option<Duration>,
 }
 
-impl AskFault {
+impl RequestFault {
     #[cold]
     pub(super) fn new(status: u16, code: &'static str, message: impl Into<String>) -> Self {
         let verdict = Verdict::NotRun;
-        AskFault { status, code, message: message.into(), verdict, retry_after: None }
+        RequestFault { status, code, message: message.into(), verdict, retry_after: None }
     }
 }
 
-/// What an entry needs to know of a caller's body.
+/// The fields of a completion request that the entry uses.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ModelAsk {
-    /// Model wanted.
+pub struct CompletionRequest {
+    /// Requested model.
     pub model: String,
-    /// Bytes of prompt text.
+    /// Length of the prompt text in bytes.
     pub prompt_bytes: u64,
-    /// Most tokens of the answer.
-    pub answer_tokens: u64,
-    /// Whether the answer is wanted as a stream.
+    /// Maximum number of tokens in the answer.
+    pub max_answer_tokens: u64,
+    /// Whether the answer is to be streamed.
     pub stream: bool,
-    /// Whether a stream is to end with a part that tells its tokens.
-    pub usage_part: bool,
-    /// Marks of the prompt.
-    pub marks: PrefixMarks,
+    /// Whether a stream is to end with an event that reports the token usage.
+    pub has_usage_event: bool,
+    /// Hashes of the prompt's prefixes.
+    pub prefix_hashes: PrefixMarks,
 }
 
 #[derive(Deserialize)]
@@ -68,7 +68,7 @@
     messages: Option<Vec<ChatMessage<'a>>>,
     #[serde(default)]
     max_tokens: Option<u64>,
-    /// The newer name of `max_tokens`, which wins.
+    /// The newer name of `max_tokens`, which takes precedence.
     #[serde(default)]
     max_completion_tokens: Option<u64>,
     #[serde(default)]
@@ -95,7 +95,7 @@
     content: PromptText<'a>,
 }
 
-/// A text, or a list of texts, or of parts that carry one.
+/// Text of a prompt: a string, or a list of objects with a `text` field.
 struct PromptText<'a>(Vec<Cow<'a, str>>);
 
 #[derive(Deserialize)]
@@ -136,101 +136,101 @@
     }
 }
 
-impl ModelAsk {
-    /// Reads a caller's body and checks it against what the account may use.
+impl CompletionRequest {
+    /// Parses a request body and checks it against the account's permissions.
     ///
     /// # Errors
     ///
-    /// Broken JSON, a missing prompt, an unknown model, or a model, adapter
-    /// or version that the account may not use.
+    /// Invalid JSON, a missing prompt, a maximum number of tokens out of range, an unknown model,
+    /// or a model, adapter or version that the account may not use.
     pub fn from_body(
         body: &[u8],
         policy: &AccountPolicy,
         table: &AccountTable,
-    ) -> Result<Self, AskFault> {
-        let read: ModelBody<'_> = serde_json::from_slice(body).map_err(|error| {
-            let place = format!("at line {} column {}", error.line(), error.column());
+    ) -> Result<Self, RequestFault> {
+        let parsed: ModelBody<'_> = serde_json::from_slice(body).map_err(|error| {
+            let position = format!("at line {} column {}", error.line(), error.column());
             let text =
-                if error.is_data() { error.to_string() } else { format!("not JSON {place}") };
-            AskFault::new(400, "bad_body", text)
+                if error.is_data() { error.to_string() } else { format!("not JSON {position}") };
+            RequestFault::new(400, "bad_body", text)
         })?;
-        let model = find_model(&read, policy, table)?;
-        check_choice("adapter", read.adapter.as_deref(), &policy.adapters, &model.adapters)?;
-        check_choice("version", read.version.as_deref(), &policy.versions, &model.versions)?;
-        let mut marks = MarkBuilder::new(&policy.name);
+        let model = find_model(&parsed, policy, table)?;
+        check_choice("adapter", parsed.adapter.as_deref(), &policy.adapters, &model.adapters)?;
+        check_choice("version", parsed.version.as_deref(), &policy.versions, &model.versions)?;
+        let mut hasher = MarkBuilder::new(&policy.name);
         let mut prompt_bytes = 0;
-        for text in prompt_texts(&read)? {
+        for text in prompt_texts(&parsed)? {
             prompt_bytes += text.len() as u64;
-            marks.update(text.as_bytes());
+            hasher.update(text.as_bytes());
         }
-        let answer_tokens = read_answer_tokens(&read)?;
-        Ok(ModelAsk {
-            model: read.model.into_owned(),
+        let max_answer_tokens = parse_answer_tokens(&parsed)?;
+        Ok(CompletionRequest {
+            model: parsed.model.into_owned(),
             prompt_bytes,
-            answer_tokens,
-            stream: read.stream,
-            usage_part: read.stream_options.is_some_and(|options| options.include_usage),
-            marks: marks.into_marks(),
+            max_answer_tokens,
+            stream: parsed.stream,
+            has_usage_event: parsed.stream_options.is_some_and(|options| options.include_usage),
+            prefix_hashes: hasher.into_marks(),
         })
     }
 }
 
-fn read_answer_tokens(read: &ModelBody<'_>) -> Result<u64, AskFault> {
-    let wanted = read.max_completion_tokens.or(read.max_tokens);
-    let tokens = wanted.unwrap_or(DEFAULT_ANSWER_TOKENS);
+fn parse_answer_tokens(parsed: &ModelBody<'_>) -> Result<u64, RequestFault> {
+    let requested = parsed.max_completion_tokens.or(parsed.max_tokens);
+    let tokens = requested.unwrap_or(DEFAULT_ANSWER_TOKENS);
     if tokens == 0 || tokens > MAX_ANSWER_TOKENS {
         let text = format!(
             "`max_completion_tokens` or `max_tokens` must be from 1 to {MAX_ANSWER_TOKENS}"
         );
-        return Err(AskFault::new(400, "bad_max_tokens", text));
+        return Err(RequestFault::new(400, "bad_max_tokens", text));
     }
     Ok(tokens)
 }
 
 fn find_model<'a>(
-    read: &ModelBody<'_>,
+    parsed: &ModelBody<'_>,
     policy: &AccountPolicy,
     table: &'a AccountTable,
-) -> Result<&'a Model, AskFault> {
-    let name = &*read.model;
+) -> Result<&'a Model, RequestFault> {
+    let name = &*parsed.model;
     let Some(model) = table.config().model(name) else {
-        return Err(AskFault::new(404, "unknown_model", format!("no model `{name}`")));
+        return Err(RequestFault::new(404, "unknown_model", format!("no model `{name}`")));
     };
     if !policy.models.iter().any(|allowed| &**allowed == name) {
         let text = format!("this account may not use model `{name}`");
-        return Err(AskFault::new(403, "model_not_allowed", text));
+        return Err(RequestFault::new(403, "model_not_allowed", text));
     }
     Ok(model)
 }
 
 fn check_choice(
     kind: &str,
-    wanted: Option<&str>,
+    requested: Option<&str>,
     allowed: &[std::sync::Arc<str>],
     offered: &[std::sync::Arc<str>],
-) -> Result<(), AskFault> {
-    let Some(wanted) = wanted else { return Ok(()) };
-    let is_in = |list: &[std::sync::Arc<str>]| list.iter().any(|name| &**name == wanted);
-    if is_in(allowed) && is_in(offered) {
+) -> Result<(), RequestFault> {
+    let Some(requested) = requested else { return Ok(()) };
+    let contains = |list: &[std::sync::Arc<str>]| list.iter().any(|name| &**name == requested);
+    if contains(allowed) && contains(offered) {
         return Ok(());
     }
-    let text = format!("this account may not use {kind} `{wanted}` of this model");
-    Err(AskFault::new(403, "choice_not_allowed", text))
+    let text = format!("this account may not use {kind} `{requested}` of this model");
+    Err(RequestFault::new(403, "choice_not_allowed", text))
 }
 
-/// The texts of a prompt in order. Roles are part of it: they change what the
-/// engine sees.
-fn prompt_texts<'a>(read: &'a ModelBody<'_>) -> Result<Vec<&'a str>, AskFault> {
+/// The texts of a prompt, in order. They include the roles of messages, which are part of the
+/// engine's input.
+fn prompt_texts<'a>(parsed: &'a ModelBody<'_>) -> Result<Vec<&'a str>, RequestFault> {
     let mut texts = Vec::new();
-    for message in read.messages.iter().flatten() {
+    for message in parsed.messages.iter().flatten() {
         texts.push(&*message.role);
         texts.extend(message.content.0.iter().map(|text| &**text));
     }
-    if let Some(prompt) = &read.prompt {
+    if let Some(prompt) = &parsed.prompt {
         texts.extend(prompt.0.iter().map(|text| &**text));
     }
     if texts.is_empty() {
-        return Err(AskFault::new(400, "bad_body", "neither `prompt` nor `messages` is given"));
+        return Err(RequestFault::new(400, "bad_body", "neither `prompt` nor `messages` is given"));
     }
     Ok(texts)
 }
--- a/src/entry/caller.rs
+++ b/src/entry/caller.rs
@@ -1,4 +1,4 @@
-//! A caller that waits for its answer.
+//! Connection between a caller's HTTP request and the core.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -10,46 +10,56 @@
 use crate::claim::ClaimKey;
 use crate::verdict::Verdict;
 
-/// A caller that waits for its answer. Dropping it before the end tells the
-/// core that the caller went away.
-pub(super) struct CallerLink {
+/// Receives the core's replies to one request.
+///
+/// If it is dropped before the last reply, the core is notified that the caller disconnected.
+pub(super) struct CallerHandle {
     shared: Rc<EntryShared>,
     number: u64,
     replies: mpsc::UnboundedReceiver<Reply>,
-    pub(super) opened: Instant,
+    pub(super) opened_at: Instant,
     claim: Option<ClaimKey>,
-    is_over: bool,
+    is_finished: bool,
 }
 
-impl CallerLink {
+impl CallerHandle {
     pub(super) fn open(
         shared: &Rc<EntryShared>,
         arrival: Arrival,
         claim: Option<ClaimKey>,
     ) -> Self {
-        let (reply_in, replies) = mpsc::unbounded_channel();
+        let (reply_sender, replies) = mpsc::unbounded_channel();
         let number = arrival.number;
-        shared.replies.borrow_mut().insert(number, reply_in);
+        shared.replies.borrow_mut().insert(number, reply_sender);
         shared.send(Event::Arrive(Box::new(arrival)));
         let shared = shared.clone();
-        CallerLink { shared, number, replies, opened: Instant::now(), claim, is_over: false }
+        CallerHandle {
+            shared,
+            number,
+            replies,
+            opened_at: Instant::now(),
+            claim,
+            is_finished: false,
+        }
     }
 
-    pub(super) async fn next(&mut self) -> Reply {
+    pub(super) async fn next_reply(&mut self) -> Reply {
         let reply = self.replies.recv().await;
-        // The core gives every request a final answer before it lets go.
-        let reply = reply.unwrap_or_else(|| Reply::Failed(lost_answer()));
-        self.is_over |= matches!(reply, Reply::Done(_) | Reply::Failed(_));
+        // The core sends a final reply to every request, so the channel closes early only if the
+        // entry ends.
+        let reply = reply.unwrap_or_else(|| Reply::Failed(entry_ended_failure()));
+        self.is_finished |= matches!(reply, Reply::Done(_) | Reply::Failed(_));
         if matches!(&reply, Reply::Failed(failure) if failure.verdict == Verdict::NotRun) {
-            self.give_key_back();
+            self.release_claim();
         }
         reply
     }
 }
 
-impl CallerLink {
-    /// The request was not run, so its caller may use the key again.
-    fn give_key_back(&mut self) {
+impl CallerHandle {
+    /// Releases the claim of the idempotency key: the request was not run, so the caller may use
+    /// the key again.
+    fn release_claim(&mut self) {
         if let Some(key) = self.claim.take() {
             let id = format!("{}.{}", self.shared.process, self.number);
             self.shared.claims.release(key, id);
@@ -57,17 +67,18 @@
     }
 }
 
-impl Drop for CallerLink {
+impl Drop for CallerHandle {
     fn drop(&mut self) {
-        if !self.is_over {
+        if !self.is_finished {
             self.shared.replies.borrow_mut().remove(&self.number);
             self.shared.send(Event::CallerGone(self.number));
         }
     }
 }
 
+/// Failure of a request that is open when the entry ends.
 #[cold]
-pub(super) fn lost_answer() -> Failure {
+pub(super) fn entry_ended_failure() -> Failure {
     Failure {
         code: FailureCode::Stopping,
         message: "this entry ended before the answer was whole".to_owned(),
--- a/src/entry/core.rs
+++ b/src/entry/core.rs
@@ -38,9 +38,9 @@
     /// Requests that failed after they were admitted.
     pub failed: u64,
     /// Requests refused because their account exceeded its limits.
-    pub limited: u64,
+    pub over_limit: u64,
     /// Requests whose caller disconnected.
-    pub gone: u64,
+    pub callers_gone: u64,
     /// Attempts dispatched to agents.
     pub dispatched: u64,
     /// Attempts dispatched without probing.
@@ -282,14 +282,14 @@
 
     pub(super) fn on_caller_gone(&mut self, number: u64, now: Tick) {
         if let Some(pending) = self.pending.remove(&number) {
-            self.counts.gone += 1;
+            self.counts.callers_gone += 1;
             let grant = Some(pending.into_grant());
             return self.release_admission(number, "", grant);
         }
         if !self.requests.contains_key(&number) {
             return;
         }
-        self.counts.gone += 1;
+        self.counts.callers_gone += 1;
         self.cancel_attempt(number);
         self.close(number, "the caller went away", now);
     }
--- a/src/entry/daemon.rs
+++ b/src/entry/daemon.rs
@@ -1,4 +1,4 @@
-//! The entry's daemon: sockets and timers round the core.
+//! The entry's daemon: sockets and timers around the core.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -34,30 +34,30 @@
 use crate::time::Tick;
 use crate::timeline::TimeLine;
 
-/// Events kept for the time line.
+/// Maximum number of events in the time line.
 const TIMELINE_CAPACITY: usize = 8_192;
 
-/// Time from one reading of the host list to the next.
-const HOSTS_STEP: Duration = Duration::from_secs(1);
+/// Interval between two polls of the host list.
+const HOSTS_POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Longest wait of a watch on the configuration.
-const WATCH_WAIT: Duration = Duration::from_secs(20);
+/// Maximum duration of one watch call on the configuration.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Wait after a failed call to the store.
-const STORE_STEP: Duration = Duration::from_millis(500);
+/// Delay after a failed call to the store.
+const STORE_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// How long answers may still flow to callers once all requests have ended.
-const FLUSH_LIMIT: Duration = Duration::from_secs(5);
+/// Time limit for sending the rest of the answers to callers after all requests have ended.
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A question to the core, asked between two of its turns.
-pub(super) type Question = Box<dyn FnOnce(&EntryCore)>;
+/// A query of the core's state, run between two iterations of the event loop.
+pub(super) type CoreQuery = Box<dyn FnOnce(&EntryCore)>;
 
 pub(super) enum Input {
     Event(Event),
-    Ask(Question),
+    Query(CoreQuery),
 }
 
-/// What the entry's tasks share. All of them run on one thread.
+/// State that the entry's tasks share. All of them run on one thread.
 pub(super) struct EntryShared {
     pub(super) settings: EntrySettings,
     pub(super) process: ProcessId,
@@ -65,12 +65,12 @@
     pub(super) replies: RefCell<HashMap<u64, mpsc::UnboundedSender<Reply>>>,
     pub(super) timeline: RefCell<TimeLine>,
     pub(super) meter: TurnMeter,
-    pub(super) page: super::metrics::EntryPage,
+    pub(super) metrics: super::metrics::EntryMetrics,
     pub(super) draining: Cell<bool>,
     pub(super) connections: Cell<usize>,
     pub(super) claims: SharedClaims,
     pub(super) config_store: tokio::sync::Mutex<ConfigStore>,
-    pull: Notify,
+    pull_requested: Notify,
     inputs: mpsc::UnboundedSender<Input>,
     next_number: Cell<u64>,
     pub(super) log: Logger,
@@ -78,20 +78,20 @@
 
 impl EntryShared {
     pub(super) fn send(&self, event: Event) {
-        // The loop outlives every task that sends to it.
+        // The event loop outlives every task that sends to it.
         let _ = self.inputs.send(Input::Event(event));
     }
 
-    /// Asks the core something, none where the process is ending.
-    pub(super) async fn ask<T: 'static>(
+    /// Runs a query on the core; returns `None` if the process is ending.
+    pub(super) async fn query_core<T: 'static>(
         &self,
-        question: impl FnOnce(&EntryCore) -> T + 'static,
+        query: impl FnOnce(&EntryCore) -> T + 'static,
     ) -> Option<T> {
-        let (answer_in, answer) = oneshot::channel();
-        let question = Box::new(move |core: &EntryCore| {
-            let _ = answer_in.send(question(core));
+        let (answer_sender, answer) = oneshot::channel();
+        let query = Box::new(move |core: &EntryCore| {
+            let _ = answer_sender.send(query(core));
         });
-        let _ = self.inputs.send(Input::Ask(question));
+        let _ = self.inputs.send(Input::Query(query));
         answer.await.ok()
     }
 
@@ -100,19 +100,19 @@
         self.next_number.get()
     }
 
-    /// Whether callers can be served: a configuration is in force and no stop
-    /// has begun.
+    /// Returns true if callers can be served: a configuration is in force and the entry is not
+    /// draining.
     pub(super) fn is_ready(&self) -> bool {
         !self.draining.get() && !self.accounts.borrow().config().client_accounts.is_empty()
     }
 
-    /// Wakes the task that reads the configuration.
+    /// Wakes the task that reads the configuration from the store.
     pub(super) fn pull_config(&self) {
-        self.pull.notify_one();
+        self.pull_requested.notify_one();
     }
 }
 
-/// An entry whose sockets are open.
+/// An entry with bound sockets.
 pub struct EntryDaemon {
     settings: EntrySettings,
     tuning: EntryTuning,
@@ -121,11 +121,11 @@
 }
 
 impl EntryDaemon {
-    /// Opens the sockets.
+    /// Binds the sockets.
     ///
     /// # Errors
     ///
-    /// An address that can not be listened on.
+    /// An address cannot be bound.
     pub async fn bind(settings: EntrySettings) -> Result<Self> {
         let callers = TcpListener::bind(settings.listen).await?;
         let admin = TcpListener::bind(settings.admin_listen).await?;
@@ -133,27 +133,27 @@
         Ok(EntryDaemon { settings, tuning, callers, admin })
     }
 
-    /// Changes the bounds by which the entry works.
+    /// Replaces the default limits and timeouts.
     #[must_use]
     pub fn with_tuning(self, tuning: EntryTuning) -> Self {
         EntryDaemon { tuning, ..self }
     }
 
-    /// The callers' and the operators' address.
+    /// The addresses for callers and for operators.
     ///
     /// # Errors
     ///
-    /// The operating system does not tell.
+    /// The operating system does not report the address of a socket.
     pub fn addresses(&self) -> Result<(SocketAddr, SocketAddr)> {
         Ok((self.callers.local_addr()?, self.admin.local_addr()?))
     }
 
-    /// Serves until `stop`, then stops as planned. Returns the longest turn
-    /// of the loop.
+    /// Serves until `stop` completes, then drains. Returns the duration of the longest iteration
+    /// of the event loop.
     ///
     /// # Errors
     ///
-    /// None at present: faults of callers, agents and the platform are lived with.
+    /// None at present: faults of callers, agents and the platform are tolerated.
     pub async fn run(self, stop: impl Future<Output = ()>) -> Result<Duration> {
         LocalSet::new().run_until(self.run_local(stop)).await
     }
@@ -171,12 +171,12 @@
             replies: RefCell::default(),
             timeline: RefCell::new(TimeLine::new(process.clone(), TIMELINE_CAPACITY)),
             meter: TurnMeter::default(),
-            page: super::metrics::EntryPage::new(),
+            metrics: super::metrics::EntryMetrics::new(),
             draining: Cell::new(false),
             connections: Cell::new(0),
             claims: Rc::new(ClaimStore::new(store.clone())),
             config_store: tokio::sync::Mutex::new(ConfigStore::new(store.clone())),
-            pull: Notify::new(),
+            pull_requested: Notify::new(),
             inputs,
             next_number: Cell::new(0),
             log: log.new(o!()),
@@ -189,8 +189,8 @@
             spawn_local(http::serve(shared.clone(), self.callers)),
             spawn_local(admin::serve(shared.clone(), self.admin)),
             spawn_local(forward_links(shared.clone(), link_events)),
-            spawn_local(follow_config(shared.clone(), ConfigStore::new(store))),
-            spawn_local(follow_hosts(shared.clone(), pool.clone())),
+            spawn_local(watch_config(shared.clone(), ConfigStore::new(store))),
+            spawn_local(poll_hosts(shared.clone(), pool.clone())),
         ];
         let mut entry_loop = EntryLoop::new(shared.clone(), pool, self.tuning);
         entry_loop.run(received, stop).await;
@@ -226,37 +226,37 @@
         stop: impl Future<Output = ()>,
     ) {
         let mut stop = std::pin::pin!(stop);
-        let mut force = Tick::NEVER;
-        while !self.stopped && self.clock.now() < force {
-            let wake = self.core.next_wake().unwrap_or(Tick::NEVER).min(force);
-            let sleep = sleep_until(&self.clock, wake);
+        let mut drain_deadline = Tick::NEVER;
+        while !self.stopped && self.clock.now() < drain_deadline {
+            let wake_at = self.core.next_wake().unwrap_or(Tick::NEVER).min(drain_deadline);
+            let sleep = sleep_until(&self.clock, wake_at);
             tokio::select! {
                 input = inputs.recv() => match input {
-                    Some(Input::Event(event)) => self.turn(event),
-                    Some(Input::Ask(question)) => question(&self.core),
+                    Some(Input::Event(event)) => self.run_iteration(event),
+                    Some(Input::Query(query)) => query(&self.core),
                     None => return,
                 },
-                () = sleep => self.turn(Event::Wake),
+                () = sleep => self.run_iteration(Event::Wake),
                 () = &mut stop, if !self.shared.draining.get() => {
-                    info!(self.shared.log, "planned stop begins");
+                    info!(self.shared.log, "drain started");
                     self.shared.draining.set(true);
-                    force = self.clock.now() + self.shared.settings.drain_limit;
-                    self.turn(Event::Drain);
+                    drain_deadline = self.clock.now() + self.shared.settings.drain_limit;
+                    self.run_iteration(Event::Drain);
                 }
             }
         }
     }
 
-    fn turn(&mut self, event: Event) {
+    fn run_iteration(&mut self, event: Event) {
         let shared = self.shared.clone();
         shared.meter.measure(|| {
             let effects = self.core.on_event(self.clock.now(), event);
             for effect in effects {
-                self.apply(effect);
+                self.apply_effect(effect);
             }
         });
         let config = self.core.config();
-        if config.is_some_and(|one| one.version > shared.accounts.borrow().config().version) {
+        if config.is_some_and(|config| config.version > shared.accounts.borrow().config().version) {
             self.on_new_config();
         }
     }
@@ -269,14 +269,14 @@
         *self.shared.accounts.borrow_mut() = Rc::new(AccountTable::from_config(config));
     }
 
-    fn apply(&mut self, effect: Effect) {
+    fn apply_effect(&mut self, effect: Effect) {
         let shared = &self.shared;
         match effect {
             Effect::Reply(number, reply) => {
                 let is_last = matches!(reply, Reply::Done(_) | Reply::Failed(_));
                 let mut replies = shared.replies.borrow_mut();
                 if let Some(caller) = replies.get(&number) {
-                    // A caller that went away is told of by its own task.
+                    // If the caller has disconnected, its own task reports that to the core.
                     let _ = caller.send(reply);
                 }
                 if is_last {
@@ -297,14 +297,14 @@
     }
 }
 
-/// Lets the last parts of answers reach their callers.
+/// Waits until the last parts of answers are sent to their callers.
 async fn flush_replies(shared: &EntryShared) {
     let work = async {
         while shared.connections.get() > 0 {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    let _ = tokio::time::timeout(FLUSH_LIMIT, work).await;
+    let _ = tokio::time::timeout(FLUSH_TIMEOUT, work).await;
 }
 
 async fn forward_links(shared: Rc<EntryShared>, mut events: mpsc::UnboundedReceiver<LinkEvent>) {
@@ -317,14 +317,14 @@
     }
 }
 
-/// Keeps the configuration in force up to date with the store.
-async fn follow_config(shared: Rc<EntryShared>, mut store: ConfigStore) {
+/// Keeps the configuration up to date with the store.
+async fn watch_config(shared: Rc<EntryShared>, mut store: ConfigStore) {
     let mut version = ConfigVersion::default();
-    let mut is_away = false;
+    let mut is_unreachable = false;
     loop {
         let read = tokio::select! {
-            read = read_or_watch(&mut store, version, is_away) => read,
-            () = shared.pull.notified() => store.pull(version).await,
+            read = read_or_watch(&mut store, version, is_unreachable) => read,
+            () = shared.pull_requested.notified() => store.pull(version).await,
         };
         match read {
             Ok(Some(config)) => {
@@ -333,50 +333,52 @@
             }
             Ok(None) => {}
             Err(error) => {
-                if !is_away {
-                    warn!(shared.log, "configuration can not be read"; "error" => %error);
+                if !is_unreachable {
+                    warn!(shared.log, "failed to read the configuration; retrying"; "error" => %error);
                 }
-                tokio::time::sleep(STORE_STEP).await;
-                is_away = true;
+                tokio::time::sleep(STORE_RETRY_DELAY).await;
+                is_unreachable = true;
                 continue;
             }
         }
-        if std::mem::take(&mut is_away) {
+        if std::mem::take(&mut is_unreachable) {
             info!(shared.log, "configuration can be read again");
         }
     }
 }
 
-/// Waits for a later configuration. A store that comes back, maybe from a copy, is read first:
-/// it may have nothing to tell a watch for long.
+/// Waits for a newer configuration.
+///
+/// A store that was unreachable is read first: it may have been restored from a copy, and a watch
+/// might not return for a long time.
 async fn read_or_watch(
     store: &mut ConfigStore,
     version: ConfigVersion,
-    was_away: bool,
+    was_unreachable: bool,
 ) -> Result<Option<Config>> {
-    if was_away {
+    if was_unreachable {
         return store.pull(version).await;
     }
-    store.watch(version, WATCH_WAIT).await
+    store.watch(version, WATCH_TIMEOUT).await
 }
 
 /// Keeps the list of hosts up to date.
-async fn follow_hosts(shared: Rc<EntryShared>, pool: LinkPool) {
+async fn poll_hosts(shared: Rc<EntryShared>, pool: LinkPool) {
     let client = HostListClient::new(shared.settings.hosts.clone());
     let mut revision = 0;
     loop {
         if let Ok(delta) = client.get_changes(revision).await {
             revision = delta.revision;
-            note_addresses(&pool, &delta);
+            update_addresses(&pool, &delta);
             if !delta.hosts.is_empty() {
                 shared.send(Event::Hosts(delta));
             }
         }
-        tokio::time::sleep(HOSTS_STEP).await;
+        tokio::time::sleep(HOSTS_POLL_INTERVAL).await;
     }
 }
 
-fn note_addresses(pool: &LinkPool, delta: &HostDelta) {
+fn update_addresses(pool: &LinkPool, delta: &HostDelta) {
     for host in &delta.hosts {
         if matches!(host.role, HostRole::Target { .. }) {
             pool.set_address(host.name.clone(), host.address.clone());
@@ -384,7 +386,7 @@
     }
 }
 
-/// The configuration that callers are served by.
+/// The configuration by which callers are served.
 pub(super) fn current_config(shared: &EntryShared) -> Arc<Config> {
     shared.accounts.borrow().config().clone()
 }
--- a/src/entry/http.rs
+++ b/src/entry/http.rs
@@ -1,4 +1,4 @@
-//! The callers' HTTP interface.
+//! HTTP interface for callers.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,9 +11,9 @@
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 
-use super::answers::{AnswerShape, answer_failure, answer_stream, answer_whole};
-use super::ask::{AskFault, ModelAsk};
-use super::caller::CallerLink;
+use super::answers::{AnswerFormat, answer_failure, answer_stream, answer_whole};
+use super::ask::{CompletionRequest, RequestFault};
+use super::caller::CallerHandle;
 use super::daemon::EntryShared;
 use super::event::{Arrival, Reply};
 use crate::claim::ClaimKey;
@@ -27,19 +27,19 @@
 };
 use crate::wire::Call;
 
-/// Header by which a caller forbids that a request runs twice.
+/// Header with which a caller forbids that its request runs more than once.
 const REPEATABLE_HEADER: &str = "shalelane-repeatable";
 
-/// Header of a caller's own key.
+/// Header with the caller's idempotency key.
 const IDEMPOTENCY_HEADER: &str = "idempotency-key";
 
-/// When to come back where a key could not be claimed.
-const CLAIM_RETRY: Duration = Duration::from_secs(2);
+/// Retry-after time if an idempotency key could not be claimed.
+const CLAIM_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// Longest idempotency key, in bytes.
+/// Maximum length of an idempotency key, in bytes.
 const MAX_IDEMPOTENCY_KEY: usize = 256;
 
-/// Accepts callers until the task is ended.
+/// Accepts connections of callers until the task is aborted.
 pub(super) async fn serve(shared: Rc<EntryShared>, listener: TcpListener) {
     loop {
         let stream = accept_next(&listener).await;
@@ -81,9 +81,9 @@
         _ => {
             let number = shared.new_number();
             let id = format!("{}.{number}", shared.process);
-            let mut response = match handle_call(&shared, request, number, &id).await {
+            let mut response = match handle_api_call(&shared, request, number, &id).await {
                 Ok(response) => response,
-                Err(fault) => answer_ask_fault(&fault, &id),
+                Err(fault) => answer_request_fault(&fault, &id),
             };
             if shared.draining.get() {
                 let close = HeaderValue::from_static("close");
@@ -104,21 +104,21 @@
 async fn answer_metrics(shared: &Rc<EntryShared>) -> Answer {
     let inner = shared.clone();
     let longest = shared.meter.longest();
-    let text = shared.ask(move |core| inner.page.to_text(core, longest)).await;
+    let text = shared.query_core(move |core| inner.metrics.to_text(core, longest)).await;
     answer(StatusCode::OK, "text/plain; version=0.0.4", text.unwrap_or_default())
 }
 
-fn answer_ask_fault(fault: &AskFault, id: &str) -> Answer {
+fn answer_request_fault(fault: &RequestFault, id: &str) -> Answer {
     let status = StatusCode::from_u16(fault.status).unwrap_or(StatusCode::BAD_REQUEST);
     answer_fault(status, fault.code, &fault.message, fault.verdict, id, fault.retry_after)
 }
 
-async fn handle_call(
+async fn handle_api_call(
     shared: &Rc<EntryShared>,
     request: Request<Incoming>,
     number: u64,
     id: &str,
-) -> Result<Answer, AskFault> {
+) -> Result<Answer, RequestFault> {
     let policy = authorize(shared, &request)?;
     let path = request.uri().path();
     match (request.method(), path) {
@@ -127,27 +127,29 @@
             complete(shared, request, policy, number, id).await
         }
         (_, "/v1/models" | "/v1/completions" | "/v1/chat/completions") => {
-            Err(AskFault::new(405, "bad_method", "this path takes another method"))
+            Err(RequestFault::new(405, "bad_method", "this path takes another method"))
         }
         _ if path.starts_with("/services/") => {
             call_service(shared, request, policy, number, id).await
         }
-        _ => Err(AskFault::new(404, "unknown_path", format!("no path `{path}`"))),
+        _ => Err(RequestFault::new(404, "unknown_path", format!("no path `{path}`"))),
     }
 }
 
 fn authorize(
     shared: &EntryShared,
     request: &Request<Incoming>,
-) -> Result<Rc<AccountPolicy>, AskFault> {
+) -> Result<Rc<AccountPolicy>, RequestFault> {
     if !shared.is_ready() {
-        return Err(AskFault::new(503, "not_ready", "this entry takes no requests now"));
+        return Err(RequestFault::new(503, "not_ready", "this entry takes no requests now"));
     }
     let Some(secret) = bearer(request.headers()) else {
-        return Err(AskFault::new(401, "missing_key", "no `Authorization: Bearer` key"));
+        return Err(RequestFault::new(401, "missing_key", "no `Authorization: Bearer` key"));
     };
     let account = shared.accounts.borrow().find(secret);
-    account.ok_or_else(|| AskFault::new(401, "unknown_key", "the key belongs to no client account"))
+    account.ok_or_else(|| {
+        RequestFault::new(401, "unknown_key", "the key belongs to no client account")
+    })
 }
 
 #[derive(Serialize)]
@@ -165,22 +167,22 @@
 
 fn answer_models(shared: &EntryShared, policy: &AccountPolicy) -> Answer {
     let config = super::daemon::current_config(shared);
-    let known = policy.models.iter().filter(|name| config.model(name).is_some());
-    let data = known.map(|name| ModelEntry { id: name, object: "model", owned_by: "shalelane" });
+    let models = policy.models.iter().filter(|name| config.model(name).is_some());
+    let data = models.map(|name| ModelEntry { id: name, object: "model", owned_by: "shalelane" });
     answer_json(StatusCode::OK, &ModelList { object: "list", data: data.collect() })
 }
 
-async fn read_whole(shared: &EntryShared, body: Incoming) -> Result<Bytes, AskFault> {
+async fn read_limited_body(shared: &EntryShared, body: Incoming) -> Result<Bytes, RequestFault> {
     let settings = &shared.settings;
     read_body(body, settings.max_body, settings.body_limit).await.map_err(|fault| match fault {
         BodyFault::TooLarge => {
             let text = format!("the body is larger than {} bytes", settings.max_body);
-            AskFault::new(413, "body_too_large", text)
+            RequestFault::new(413, "body_too_large", text)
         }
         BodyFault::TooSlow => {
-            AskFault::new(408, "body_too_slow", "the body did not arrive in time")
+            RequestFault::new(408, "body_too_slow", "the body did not arrive in time")
         }
-        BodyFault::Broken => AskFault::new(400, "broken_body", "the body broke off"),
+        BodyFault::Broken => RequestFault::new(400, "broken_body", "the body broke off"),
     })
 }
 
@@ -190,47 +192,48 @@
     policy: Rc<AccountPolicy>,
     number: u64,
     id: &str,
-) -> Result<Answer, AskFault> {
-    let forbids = forbids_repeat(&request);
+) -> Result<Answer, RequestFault> {
+    let is_repeat_forbidden = forbids_repeat(&request);
     let key = header_text(&request, IDEMPOTENCY_HEADER)?;
     let path = request.uri().path().to_owned();
-    let body = read_whole(shared, request.into_body()).await?;
+    let body = read_limited_body(shared, request.into_body()).await?;
     let table = shared.accounts.borrow().clone();
-    let ask = shared.meter.measure(|| ModelAsk::from_body(&body, &policy, &table))?;
-    let Some(model) = table.config().model(&ask.model).cloned() else {
-        return Err(AskFault::new(404, "unknown_model", "the model is gone"));
+    let completion =
+        shared.meter.measure(|| CompletionRequest::from_body(&body, &policy, &table))?;
+    let Some(model) = table.config().model(&completion.model).cloned() else {
+        return Err(RequestFault::new(404, "unknown_model", "the model is gone"));
     };
-    let claim = claim_key(shared, &policy, &model.service, &key, id).await?;
-    let repeatable = policy.repeatable && !forbids && claim.is_none();
+    let claim = claim_idempotency_key(shared, &policy, &model.service, &key, id).await?;
+    let repeatable = policy.repeatable && !is_repeat_forbidden && claim.is_none();
     let call = Call::Model { model: model.name, path: path.as_str().into() };
     let arrival = Arrival {
         number,
         policy,
         service: model.service,
         call,
-        prompt_bytes: ask.prompt_bytes,
-        answer_tokens: ask.answer_tokens,
-        marks: ask.marks,
+        prompt_bytes: completion.prompt_bytes,
+        answer_tokens: completion.max_answer_tokens,
+        marks: completion.prefix_hashes,
         body,
         repeatable,
     };
-    let shape = AnswerShape {
+    let answer_format = AnswerFormat {
         is_chat: path.contains("chat"),
         id: id.to_owned(),
-        model: ask.model,
-        has_usage_part: ask.usage_part,
+        model: completion.model,
+        has_usage_event: completion.has_usage_event,
     };
-    let prompt_tokens = ask.prompt_bytes / 4;
-    let mut caller = CallerLink::open(shared, arrival, claim);
-    let first = caller.next().await;
-    shared.page.observe_first(prompt_tokens, caller.opened.elapsed());
+    let prompt_tokens = completion.prompt_bytes / 4;
+    let mut caller = CallerHandle::open(shared, arrival, claim);
+    let first = caller.next_reply().await;
+    shared.metrics.observe_first(prompt_tokens, caller.opened_at.elapsed());
     if let Reply::Failed(failure) = &first {
         return Ok(answer_failure(failure, id));
     }
-    if ask.stream {
-        return Ok(answer_stream(caller, first, shape));
+    if completion.stream {
+        return Ok(answer_stream(caller, first, answer_format));
     }
-    Ok(answer_whole(caller, first, &shape).await)
+    Ok(answer_whole(caller, first, &answer_format).await)
 }
 
 fn forbids_repeat(request: &Request<Incoming>) -> bool {
@@ -244,17 +247,21 @@
     policy: Rc<AccountPolicy>,
     number: u64,
     id: &str,
-) -> Result<Answer, AskFault> {
-    let rest = request.uri().path().trim_start_matches("/services/");
-    let (service, path) = rest.split_once('/').unwrap_or((rest, ""));
+) -> Result<Answer, RequestFault> {
+    let service_path = request.uri().path().trim_start_matches("/services/");
+    let (service, path) = service_path.split_once('/').unwrap_or((service_path, ""));
     let (service, path) = (service.to_owned(), format!("/{path}"));
     let table = shared.accounts.borrow().clone();
     if !table.is_plain(&service) {
-        return Err(AskFault::new(404, "unknown_service", format!("no plain service `{service}`")));
+        return Err(RequestFault::new(
+            404,
+            "unknown_service",
+            format!("no plain service `{service}`"),
+        ));
     }
     if !policy.services.iter().any(|allowed| **allowed == *service) {
         let text = format!("this account may not call service `{service}`");
-        return Err(AskFault::new(403, "service_not_allowed", text));
+        return Err(RequestFault::new(403, "service_not_allowed", text));
     }
     let is_safe = matches!(*request.method(), Method::GET | Method::HEAD | Method::OPTIONS);
     let key = header_text(&request, IDEMPOTENCY_HEADER)?;
@@ -267,9 +274,9 @@
         content_type: header_text(&request, CONTENT_TYPE.as_str())?.into(),
         key: key.as_str().into(),
     };
-    let body = read_whole(shared, request.into_body()).await?;
-    let wanted = if is_safe { "" } else { key.as_str() };
-    let claim = claim_key(shared, &policy, &service, wanted, id).await?;
+    let body = read_limited_body(shared, request.into_body()).await?;
+    let claimed_key = if is_safe { "" } else { key.as_str() };
+    let claim = claim_idempotency_key(shared, &policy, &service, claimed_key, id).await?;
     let arrival = Arrival {
         number,
         policy,
@@ -279,32 +286,34 @@
         answer_tokens: 0,
         marks: PrefixMarks::default(),
         body,
-        // A method that is not safe may have effects, so only the
-        // configuration could say that it bears repeating, and says it by
-        // leaving the path out of `not_repeatable`.
+        // A method that is not safe may have effects. Only the configuration can declare it
+        // repeatable, by not listing the path in `not_repeatable`.
         repeatable: is_safe || !is_once_only,
     };
-    let mut caller = CallerLink::open(shared, arrival, claim);
-    match caller.next().await {
+    let mut caller = CallerHandle::open(shared, arrival, claim);
+    match caller.next_reply().await {
         Reply::Failed(failure) => Ok(answer_failure(&failure, id)),
         Reply::Head(status, content_type) => {
             Ok(answer_service(caller, status, &content_type, id).await)
         }
         Reply::Text(_) | Reply::Done(_) => {
-            Err(AskFault::new(502, "target_failed", "the service answered without a status"))
+            Err(RequestFault::new(502, "target_failed", "the service answered without a status"))
         }
     }
 }
 
-/// Claims a caller's own key, none where it gave none. Nothing is done for a
-/// key that belongs to another request, or while nobody can tell.
-async fn claim_key(
+/// Claims the caller's idempotency key; returns `None` if the request has none.
+///
+/// # Errors
+///
+/// The key belongs to another request, or the store cannot be reached to find out.
+async fn claim_idempotency_key(
     shared: &EntryShared,
     policy: &AccountPolicy,
     service: &str,
     key: &str,
     id: &str,
-) -> Result<Option<ClaimKey>, AskFault> {
+) -> Result<Option<ClaimKey>, RequestFault> {
     if key.is_empty() {
         return Ok(None);
     }
@@ -313,34 +322,38 @@
         ClaimOutcome::Won => Ok(Some(claim)),
         ClaimOutcome::Taken(other) => {
             let text = format!("the key belongs to request {other}, which may have run");
-            Err(AskFault { verdict: Verdict::MayHaveRun, ..AskFault::new(409, "key_taken", text) })
+            Err(RequestFault {
+                verdict: Verdict::MayHaveRun,
+                ..RequestFault::new(409, "key_taken", text)
+            })
         }
         ClaimOutcome::Away => {
             let text = "the key can not be claimed while the platform's store is away";
-            let retry_after = Some(CLAIM_RETRY);
-            Err(AskFault { retry_after, ..AskFault::new(503, "claims_away", text) })
+            let retry_after = Some(CLAIM_RETRY_AFTER);
+            Err(RequestFault { retry_after, ..RequestFault::new(503, "claims_away", text) })
         }
     }
 }
 
-fn header_text(request: &Request<Incoming>, name: &str) -> Result<String, AskFault> {
+fn header_text(request: &Request<Incoming>, name: &str) -> Result<String, RequestFault> {
     let Some(value) = request.headers().get(name) else {
         return Ok(String::new());
     };
     let text = value.to_str().ok().filter(|text| text.len() <= MAX_IDEMPOTENCY_KEY);
-    text.map(str::to_owned)
-        .ok_or_else(|| AskFault::new(400, "bad_header", format!("header `{name}` can not be used")))
+    text.map(str::to_owned).ok_or_else(|| {
+        RequestFault::new(400, "bad_header", format!("header `{name}` can not be used"))
+    })
 }
 
 async fn answer_service(
-    mut caller: CallerLink,
+    mut caller: CallerHandle,
     status: u16,
     content_type: &str,
     id: &str,
 ) -> Answer {
     let mut body = Vec::new();
     loop {
-        match caller.next().await {
+        match caller.next_reply().await {
             Reply::Text(part) => body.extend_from_slice(&part),
             Reply::Done(_) => break,
             Reply::Failed(failure) => return answer_failure(&failure, id),
--- a/src/entry/metrics.rs
+++ b/src/entry/metrics.rs
@@ -12,8 +12,8 @@
     admitted: CountMirror,
     finished: CountMirror,
     failed: CountMirror,
-    limited: CountMirror,
-    gone: CountMirror,
+    over_limit: CountMirror,
+    callers_gone: CountMirror,
     dispatched: CountMirror,
     direct: CountMirror,
     refused: CountMirror,
@@ -21,32 +21,32 @@
     probes: CountMirror,
     groups: CountMirror,
     resumed: CountMirror,
-    broken: CountMirror,
+    broken_invariants: CountMirror,
 }
 
-/// The page that an entry shows.
+/// Metrics that an entry exposes.
 #[derive(Debug)]
-pub(super) struct EntryPage {
-    page: MetricsPage,
+pub(super) struct EntryMetrics {
+    registry: MetricsPage,
     counters: EntryCounters,
-    open: IntGauge,
-    targets: IntGauge,
+    open_requests: IntGauge,
+    known_targets: IntGauge,
     config_version: IntGauge,
-    longest_turn: IntGauge,
+    longest_iteration: IntGauge,
     first_token: HistogramVec,
 }
 
-impl EntryPage {
+impl EntryMetrics {
     pub(super) fn new() -> Self {
-        let page = MetricsPage::default();
+        let registry = MetricsPage::default();
         let count =
-            |name: &str, help: &str| page.add_count(&format!("shalelane_entry_{name}"), help);
+            |name: &str, help: &str| registry.add_count(&format!("shalelane_entry_{name}"), help);
         let counters = EntryCounters {
             admitted: count("admitted_total", "Requests let in"),
             finished: count("finished_total", "Whole answers"),
             failed: count("failed_total", "Final failures"),
-            limited: count("limited_total", "Requests over a limit of their account"),
-            gone: count("callers_gone_total", "Callers that went away"),
+            over_limit: count("limited_total", "Requests over a limit of their account"),
+            callers_gone: count("callers_gone_total", "Callers that went away"),
             dispatched: count("dispatched_total", "Attempts given to agents"),
             direct: count("direct_total", "Attempts given out without asking"),
             refused: count("refused_total", "Attempts refused by agents, not run"),
@@ -54,38 +54,41 @@
             probes: count("probes_total", "Probes sent"),
             groups: count("groups_total", "Groups of engines formed"),
             resumed: count("resumed_total", "Answers joined again after a lost link"),
-            broken: count("broken_invariants_total", "Promises found broken"),
+            broken_invariants: count("broken_invariants_total", "Promises found broken"),
         };
         let gauge =
-            |name: &str, help: &str| page.add_gauge(&format!("shalelane_entry_{name}"), help);
-        EntryPage {
-            open: gauge("open_requests", "Requests without a final answer"),
-            targets: gauge("known_targets", "Targets that the platform lists"),
+            |name: &str, help: &str| registry.add_gauge(&format!("shalelane_entry_{name}"), help);
+        EntryMetrics {
+            open_requests: gauge("open_requests", "Requests without a final answer"),
+            known_targets: gauge("known_targets", "Targets that the platform lists"),
             config_version: gauge("config_version", "Configuration version in force"),
-            longest_turn: gauge("longest_turn_us", "Longest turn of the loop, in microseconds"),
-            first_token: page.add_first_token(
+            longest_iteration: gauge(
+                "longest_turn_us",
+                "Longest turn of the loop, in microseconds",
+            ),
+            first_token: registry.add_first_token(
                 "shalelane_entry_first_token_seconds",
                 "Time to the first token, by prompt length",
             ),
             counters,
-            page,
+            registry,
         }
     }
 
-    pub(super) fn observe_first(&self, tokens: u64, span: Duration) {
+    pub(super) fn observe_first(&self, tokens: u64, elapsed: Duration) {
         let class = length_class(tokens);
-        self.first_token.with_label_values(&[class]).observe(span.as_secs_f64());
+        self.first_token.with_label_values(&[class]).observe(elapsed.as_secs_f64());
     }
 
-    /// Reads the core out and writes the page.
+    /// Updates the metrics from the core and returns them in the text format.
     pub(super) fn to_text(&self, core: &EntryCore, longest: Duration) -> Vec<u8> {
         let counts = core.counts();
         let counters = &self.counters;
         counters.admitted.follow(counts.admitted);
         counters.finished.follow(counts.finished);
         counters.failed.follow(counts.failed);
-        counters.limited.follow(counts.limited);
-        counters.gone.follow(counts.gone);
+        counters.over_limit.follow(counts.over_limit);
+        counters.callers_gone.follow(counts.callers_gone);
         counters.dispatched.follow(counts.dispatched);
         counters.direct.follow(counts.direct);
         counters.refused.follow(counts.refused);
@@ -93,11 +96,11 @@
         counters.probes.follow(counts.probes);
         counters.groups.follow(counts.groups);
         counters.resumed.follow(counts.resumed);
-        counters.broken.follow(core.broken_invariants());
-        self.open.set(core.open_requests() as i64);
-        self.targets.set(core.known_targets() as i64);
+        counters.broken_invariants.follow(core.broken_invariants());
+        self.open_requests.set(core.open_requests() as i64);
+        self.known_targets.set(core.known_targets() as i64);
         self.config_version.set(core.config().map_or(0, |config| config.version.0 as i64));
-        self.longest_turn.set(longest.as_micros() as i64);
-        self.page.to_text()
+        self.longest_iteration.set(longest.as_micros() as i64);
+        self.registry.to_text()
     }
 }
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -1,5 +1,5 @@
-//! Bad input from callers, peers and operators: each a clear answer, and
-//! nothing crashes or leaks.
+//! Invalid input from callers, peers and operators: each gets a clear error, and no process
+//! crashes or leaks memory.
 
 mod support;
 
@@ -20,18 +20,18 @@
 }
 
 async fn post(site: &Site, path: &str, key: &str, body: impl Into<Bytes>) -> WholeAnswer {
-    call(site.callers(0), request("POST", path, key, body)).await.expect("an answer")
+    call(site.callers(0), request("POST", path, key, body)).await.expect("request failed")
 }
 
-/// The site still serves, and no engine holds anything.
-async fn assert_sound(site: &Site) {
+/// Asserts that the site still serves and that no engine holds memory.
+async fn assert_healthy(site: &Site) {
     let answer = call(site.callers(0), completion("pier-app", "Still there?", 2)).await;
-    assert!(answer.expect("an answer").is_done());
+    assert!(answer.expect("completion request failed").is_done());
     site.wait_nothing_held().await;
 }
 
 #[tokio::test]
-async fn bad_requests_get_a_code_a_verdict_and_an_id() {
+async fn invalid_requests_get_a_code_a_verdict_and_an_id() {
     let site = small_site().await;
     let long = "x".repeat(4_000_000);
     let body = |model: &str, rest: &str| format!(r#"{{"model": "{model}", {rest}}}"#);
@@ -81,17 +81,17 @@
         assert_eq!(answer.verdict, "not-run", "{path}");
         assert!(answer.request_id.starts_with("entry-0."), "{path}: {}", answer.request_id);
     }
-    assert_sound(&site).await;
+    assert_healthy(&site).await;
 }
 
 #[tokio::test]
-async fn a_model_that_is_not_allowed_is_refused() {
+async fn a_model_without_permission_is_refused() {
     let site = small_site().await;
-    let more = VALDIVIA.replace("[[templates]]\nname = \"kiosk\"", "[[models]]\nname = \"other\"\nservice = \"canal-assistant\"\nmax_prompt_tokens = 10\n\n[[templates]]\nname = \"kiosk\"");
+    let config = VALDIVIA.replace("[[templates]]\nname = \"kiosk\"", "[[models]]\nname = \"other\"\nservice = \"canal-assistant\"\nmax_prompt_tokens = 10\n\n[[templates]]\nname = \"kiosk\"");
     let status = site.ask_admin(0, "/admin/v1/status").await.json();
-    let version = status["config_version"].as_u64().expect("a version");
-    assert_eq!(site.apply(&more, version).await.status, 200);
-    support::wait_until("the change is in force", async || {
+    let version = status["config_version"].as_u64().expect("status has no configuration version");
+    assert_eq!(site.apply(&config, version).await.status, 200);
+    support::wait_until("the new configuration is in force", async || {
         site.ask_admin(0, "/admin/v1/status").await.json()["config_version"] != version
     })
     .await;
@@ -103,96 +103,97 @@
 #[tokio::test]
 async fn a_body_over_the_limit_is_refused_before_it_is_read() {
     let site = small_site().await;
-    let mut stream = TcpStream::connect(site.callers(0)).await.expect("a connection");
+    let mut stream = TcpStream::connect(site.callers(0)).await.expect("failed to connect");
     let head = format!(
         "POST /v1/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer {KEY}\r\n\
          content-length: 100000000\r\n\r\n"
     );
-    stream.write_all(head.as_bytes()).await.expect("sent");
+    stream.write_all(head.as_bytes()).await.expect("failed to send the request");
     let text = read_some(&mut stream).await;
     assert!(text.starts_with("HTTP/1.1 413"), "{text}");
     assert!(text.contains("body_too_large") && text.contains("shalelane-verdict: not-run"));
-    assert_sound(&site).await;
+    assert_healthy(&site).await;
 }
 
 #[tokio::test]
-async fn a_body_that_does_not_come_is_refused_in_the_end() {
+async fn an_incomplete_body_times_out() {
     let site = small_site().await;
-    let mut stream = TcpStream::connect(site.callers(0)).await.expect("a connection");
+    let mut stream = TcpStream::connect(site.callers(0)).await.expect("failed to connect");
     let head = format!(
         "POST /v1/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer {KEY}\r\n\
          content-length: 1000\r\n\r\n{{\"model\": "
     );
-    stream.write_all(head.as_bytes()).await.expect("sent");
+    stream.write_all(head.as_bytes()).await.expect("failed to send the request");
     let text = read_some(&mut stream).await;
     assert!(text.starts_with("HTTP/1.1 408"), "{text}");
     assert!(text.contains("body_too_slow") && text.contains("shalelane-verdict: not-run"));
-    assert_sound(&site).await;
+    assert_healthy(&site).await;
 }
 
 #[tokio::test]
-async fn a_flood_of_headers_is_refused() {
+async fn a_request_with_too_many_headers_is_refused() {
     let site = small_site().await;
-    let mut stream = TcpStream::connect(site.callers(0)).await.expect("a connection");
+    let mut stream = TcpStream::connect(site.callers(0)).await.expect("failed to connect");
     let mut head = String::from("GET /v1/models HTTP/1.1\r\nhost: x\r\n");
     for number in 0..2_000 {
         let _ = write!(head, "x-{number}: {number}\r\n");
     }
     head.push_str("\r\n");
-    // The entry may close the connection before it has read all of it.
+    // The entry may close the connection before it has read all headers.
     let _ = stream.write_all(head.as_bytes()).await;
     let text = read_some(&mut stream).await;
     assert!(text.is_empty() || text.starts_with("HTTP/1.1 431"), "{text}");
-    assert_sound(&site).await;
+    assert_healthy(&site).await;
 }
 
 async fn read_some(stream: &mut TcpStream) -> String {
     let mut buffer = vec![0; 4096];
     let read = tokio::time::timeout(Duration::from_secs(30), stream.read(&mut buffer)).await;
-    let count = read.expect("an answer in time").unwrap_or(0);
+    let count = read.expect("no answer within 30 s").unwrap_or(0);
     String::from_utf8_lossy(&buffer[..count]).into_owned()
 }
 
 #[tokio::test]
-async fn bad_frames_and_strangers_do_not_disturb_an_agent() {
+async fn invalid_frames_do_not_disturb_an_agent() {
     let site = small_site().await;
     let agent = site.agents[0].process.address("entries");
     for garbage in
         [&b"not http at all\r\n\r\n"[..], b"GET / HTTP/1.1\r\nhost: x\r\n\r\n", &[0; 512]]
     {
-        let mut stream = TcpStream::connect(agent).await.expect("a connection");
+        let mut stream = TcpStream::connect(agent).await.expect("failed to connect");
         let _ = stream.write_all(garbage).await;
         let mut rest = Vec::new();
         let _ = stream.shutdown().await;
         let _ = tokio::time::timeout(Duration::from_secs(30), stream.read_to_end(&mut rest)).await;
     }
-    assert_sound(&site).await;
+    assert_healthy(&site).await;
 }
 
 #[tokio::test]
-async fn operators_need_a_key_and_a_good_file() {
+async fn operators_need_a_key_and_a_valid_configuration() {
     let site = small_site().await;
-    let stranger = call(site.admin(0), request("GET", "/admin/v1/status", "guess", "")).await;
-    assert_eq!(stranger.expect("an answer").status, 401);
-    let broken = site.apply("[[services]]\nnmae = \"x\"\n", 1).await;
-    assert_eq!((broken.status, broken.code().as_str()), (422, "bad_config"));
-    let message = broken.json()["error"]["message"].as_str().unwrap_or("").to_owned();
+    let unauthorized = call(site.admin(0), request("GET", "/admin/v1/status", "guess", "")).await;
+    assert_eq!(unauthorized.expect("status request failed").status, 401);
+    let invalid = site.apply("[[services]]\nnmae = \"x\"\n", 1).await;
+    assert_eq!((invalid.status, invalid.code().as_str()), (422, "bad_config"));
+    let message = invalid.json()["error"]["message"].as_str().unwrap_or("").to_owned();
     assert!(message.contains("line 2") && message.contains("nearest is `name`"), "{message}");
-    let mut blind = request("PUT", "/admin/v1/config", standins::fleet::ADMIN_KEY, VALDIVIA);
-    blind.headers_mut().remove("if-match");
-    let answer = call(site.admin(0), blind).await.expect("an answer");
+    let mut unconditional =
+        request("PUT", "/admin/v1/config", standins::fleet::ADMIN_KEY, VALDIVIA);
+    unconditional.headers_mut().remove("if-match");
+    let answer = call(site.admin(0), unconditional).await.expect("configuration request failed");
     assert_eq!((answer.status, answer.code().as_str()), (428, "missing_version"));
-    assert_sound(&site).await;
+    assert_healthy(&site).await;
 }
 
 #[tokio::test]
-async fn a_half_written_configuration_does_not_take_the_place_of_a_good_one() {
+async fn a_truncated_configuration_does_not_replace_a_valid_one() {
     let site = small_site().await;
     site.store.overwrite("config/manifest", b"{\"token\": \"x\", \"items\": [{\"kind\"");
-    assert_sound(&site).await;
+    assert_healthy(&site).await;
     let missing = br#"{"token": "x", "items": [{"kind": "service", "hash": "00ff"}]}"#;
     site.store.overwrite("config/manifest", missing);
-    assert_sound(&site).await;
+    assert_healthy(&site).await;
     let status = site.ask_admin(0, "/admin/v1/status").await.json();
     assert_eq!(status["ready"], true);
 }
