--- a/src/entry/core.rs
+++ b/src/entry/core.rs
@@ -76,14 +76,17 @@
     pub(super) failure_domain: Arc<str>,
     pub(super) tuning: EntryTuning,
     pub(super) config: Option<Arc<Config>>,
+    /// Newest configuration version that an agent has announced.
     pub(super) newest_version: ConfigVersion,
     pub(super) table: RouteTable,
     pub(super) limits: AccountLimits,
     pub(super) estimator: TokenEstimator,
+    /// Incarnations of the agents that are connected, by target.
     pub(super) links: HashMap<Arc<str>, Incarnation>,
     pub(super) requests: BTreeMap<u64, Request>,
     /// Requests that wait for an agent to admit them.
     pub(super) pending: BTreeMap<u64, PendingAdmission>,
+    /// Request of each unanswered probe, by the number of the probe.
     pub(super) probes: HashMap<u64, u64>,
     pub(super) next_probe: u64,
     pub(super) timers: TimerService<Timer>,
@@ -99,6 +102,7 @@
     pub(super) stopped: bool,
     pub(super) invariant: InvariantCheck,
     pub(super) counts: EntryCounts,
+    /// Effects that the current event has caused so far.
     pub(super) effects: Vec<Effect>,
 }
 
--- a/src/entry/daemon.rs
+++ b/src/entry/daemon.rs
@@ -297,14 +297,14 @@
     }
 }
 
-/// Waits until the last parts of answers are sent to their callers.
+/// Waits until all connections of callers are closed, so that the last parts of answers are sent.
 async fn flush_replies(shared: &EntryShared) {
-    let work = async {
+    let all_closed = async {
         while shared.connections.get() > 0 {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    let _ = tokio::time::timeout(FLUSH_TIMEOUT, work).await;
+    let _ = tokio::time::timeout(FLUSH_TIMEOUT, all_closed).await;
 }
 
 async fn forward_links(shared: Rc<EntryShared>, mut events: mpsc::UnboundedReceiver<LinkEvent>) {
--- a/src/entry/request.rs
+++ b/src/entry/request.rs
@@ -58,7 +58,9 @@
     pub(super) dispatches: u16,
     /// Offers that were not taken, with the best one last.
     pub(super) spare_offers: Vec<Offer>,
+    /// Targets that refused the request or failed an attempt.
     pub(super) tried: Vec<Arc<str>>,
+    /// Members of the engine group, if the request needs one.
     pub(super) members: Vec<Member>,
     /// Hash of the prompt's first prefix, if that has been seen before.
     pub(super) prefix: Option<u64>,
@@ -69,6 +71,7 @@
     /// Bytes of the answer that were sent to the caller.
     pub(super) sent_bytes: u64,
     pub(super) has_head: bool,
+    /// Time at which the first part of the answer arrived.
     pub(super) first_part_at: Option<Tick>,
     /// Verdict over all attempts that have ended.
     pub(super) verdict: Verdict,
