--- a/src/claim.rs
+++ b/src/claim.rs
@@ -1,9 +1,9 @@
-//! Claims on callers' own idempotency keys: who may run a key's request.
+//! Claims on callers' idempotency keys: they decide which request may run under a key.
 //!
 //! The claims of a shard form a log in the store. Each segment is an object
 //! that is created once, under the next number, and holds all claims that
-//! waited at its writer: one write for many claims. Whoever creates a segment
-//! has read all earlier ones, so a key has one owner.
+//! waited at its writer, so one write serves many claims. A writer reads all
+//! earlier segments before it creates one, so a key has one owner.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -13,18 +13,18 @@
 
 use crate::hex::to_hex;
 
-/// Logs over which keys are spread.
+/// Number of logs over which keys are distributed.
 pub const SHARDS: u8 = 8;
 
-/// How long a claim is remembered, in seconds.
+/// Retention period of a claim, in seconds.
 pub const RETENTION: u64 = 3_600;
 
-/// A caller's key, bound to its account and service.
+/// Hash of a caller's idempotency key, its client account and its service.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ClaimKey(String);
 
 impl ClaimKey {
-    /// Hashes a key, so that what a caller chose stands nowhere.
+    /// Hashes a key, so that the text that a caller chose is not stored.
     #[must_use]
     pub fn new(account: &str, service: &str, key: &str) -> Self {
         const BYTES: usize = 16;
@@ -36,7 +36,7 @@
         ClaimKey(to_hex(&digest.finalize()[..BYTES]))
     }
 
-    /// The log that this key belongs to.
+    /// Returns the number of the log that this key belongs to.
     #[must_use]
     pub fn shard(&self) -> u8 {
         let first = u8::from_str_radix(&self.0[..2], 16).unwrap_or(0);
@@ -50,41 +50,41 @@
     }
 }
 
-/// One line of a log.
+/// One record of a log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRecord {
-    /// The key.
+    /// The claimed or released key.
     pub key: ClaimKey,
-    /// The request that claims it, or gives it back.
+    /// The request that claims or releases the key.
     pub request: String,
-    /// The request was not run, and the key is free again.
+    /// `true` if the request was not run and the key is released.
     #[serde(default)]
     pub is_release: bool,
 }
 
-/// One object of a log.
+/// One segment of a log, stored as one object.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimSegment {
-    /// Random text by which a writer knows its own segment again.
+    /// Random text by which a writer recognises its own segment.
     pub token: String,
-    /// When it was written, in seconds since 1970.
+    /// Wall time of the write, in seconds since 1970.
     pub at: u64,
-    /// Its lines, in order.
+    /// Records of the segment, in order.
     pub records: Vec<ClaimRecord>,
 }
 
-/// Where a log begins for readers.
+/// The stored position at which readers start a log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimHead {
-    /// Number of the first segment whose claims are remembered.
+    /// Number of the first segment within the retention period.
     pub first: u64,
-    /// Epoch of the store in which the log is known to be whole again.
+    /// Latest store epoch in which the log is known to be complete.
     #[serde(default)]
     pub epoch: u64,
 }
 
 impl Default for ClaimHead {
-    /// The head of a log that nobody has begun.
+    /// Returns the head of a log without segments.
     fn default() -> Self {
         ClaimHead { first: 1, epoch: 0 }
     }
@@ -96,34 +96,35 @@
     at: u64,
 }
 
-/// A log as far as it has been read.
+/// Replayed state of a log, up to the last segment read.
 #[derive(Debug)]
 pub struct ClaimLog {
     next: u64,
     owners: HashMap<ClaimKey, ClaimOwner>,
-    starts: Vec<(u64, u64)>,
+    /// Number and time of each segment within the retention period.
+    segment_times: Vec<(u64, u64)>,
 }
 
 impl ClaimLog {
-    /// A log to be read from a segment on.
+    /// Creates an empty state that starts at the head's first segment.
     #[must_use]
     pub fn new(head: ClaimHead) -> Self {
-        ClaimLog { next: head.first, owners: HashMap::new(), starts: Vec::new() }
+        ClaimLog { next: head.first, owners: HashMap::new(), segment_times: Vec::new() }
     }
 
-    /// Number of the segment that comes next.
+    /// Returns the number of the next segment.
     #[must_use]
     pub fn next(&self) -> u64 {
         self.next
     }
 
-    /// Takes the next segment.
+    /// Applies the next segment.
     pub fn push(&mut self, segment: &ClaimSegment) {
         for record in &segment.records {
             let owner = self.owners.get(&record.key);
-            let is_own = owner.is_some_and(|owner| owner.request == record.request);
+            let is_owner = owner.is_some_and(|owner| owner.request == record.request);
             if record.is_release {
-                if is_own {
+                if is_owner {
                     self.owners.remove(&record.key);
                 }
             } else if owner.is_none() {
@@ -131,39 +132,40 @@
                 self.owners.insert(record.key.clone(), owner);
             }
         }
-        self.starts.push((self.next, segment.at));
+        self.segment_times.push((self.next, segment.at));
         self.next += 1;
     }
 
-    /// The request that a key belongs to.
+    /// Returns the request that owns a key.
     #[must_use]
     pub fn owner(&self, key: &ClaimKey) -> Option<&str> {
         self.owners.get(key).map(|owner| owner.request.as_str())
     }
 
-    /// The lines of a batch that are worth writing: claims on keys that are
-    /// free, the first of each, and releases of keys by their owners.
+    /// Selects the records of a batch that change the log: the first claim on each
+    /// free key, and releases of keys by their owners.
     #[must_use]
     pub fn select(&self, batch: &[ClaimRecord]) -> Vec<ClaimRecord> {
         let mut selected: Vec<ClaimRecord> = Vec::new();
         for record in batch {
             let owner = self.owner(&record.key);
-            let is_wanted = if record.is_release {
+            let is_effective = if record.is_release {
                 owner == Some(record.request.as_str())
             } else {
-                owner.is_none() && !selected.iter().any(|other| other.key == record.key)
+                owner.is_none() && !selected.iter().any(|earlier| earlier.key == record.key)
             };
-            if is_wanted {
+            if is_effective {
                 selected.push(record.clone());
             }
         }
         selected
     }
 
-    /// The claims that a log which was read anew lacks, since the store has lost them.
+    /// Returns the claims of this log that are missing in `reloaded`, the log that was read
+    /// after the store had lost data.
     #[must_use]
-    pub fn missing_in(&self, other: &ClaimLog) -> Vec<ClaimRecord> {
-        let missing = self.owners.iter().filter(|(key, _)| !other.owners.contains_key(*key));
+    pub fn missing_in(&self, reloaded: &ClaimLog) -> Vec<ClaimRecord> {
+        let missing = self.owners.iter().filter(|(key, _)| !reloaded.owners.contains_key(*key));
         let records = missing.map(|(key, owner)| ClaimRecord {
             key: key.clone(),
             request: owner.request.clone(),
@@ -172,23 +174,23 @@
         records.collect()
     }
 
-    /// Forgets claims that are older than the retention. Returns the number of the first
-    /// segment that counts now, if that has moved.
+    /// Drops claims that are older than the retention period. Returns the number of the
+    /// first segment within the retention period, if it has changed.
     pub fn expire(&mut self, now: u64) -> Option<u64> {
         let oldest = now.saturating_sub(RETENTION);
         self.owners.retain(|_, owner| owner.at >= oldest);
-        let old = self.starts.iter().take_while(|(_, at)| *at < oldest).count();
-        let (last, _) = self.starts.drain(..old).next_back()?;
+        let expired = self.segment_times.iter().take_while(|(_, at)| *at < oldest).count();
+        let (last, _) = self.segment_times.drain(..expired).next_back()?;
         Some(last + 1)
     }
 
-    /// How many claims are remembered.
+    /// Returns the number of claims within the retention period.
     #[must_use]
     pub fn len(&self) -> usize {
         self.owners.len()
     }
 
-    /// Returns true where no claim is remembered.
+    /// Returns `true` if no claim is within the retention period.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.owners.is_empty()
--- a/src/claim_store.rs
+++ b/src/claim_store.rs
@@ -1,4 +1,4 @@
-//! Claims in the platform's store, many of them in one write.
+//! Claims in the platform's store, written in batches.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -17,40 +17,41 @@
 use crate::error::{Error, Result};
 use crate::store::StoreClient;
 
-/// How long claims gather before they are written.
-const GATHER: Duration = Duration::from_millis(20);
+/// Time for which claims are collected into one batch.
+const BATCH_WINDOW: Duration = Duration::from_millis(20);
 
-/// Most claims of a segment: about 100 KB.
+/// Maximum number of claims in a segment: about 100 KB.
 const MAX_BATCH: usize = 1_000;
 
-/// Time after the store came back from a copy in which nobody gets a key that is free: others
-/// write their claims again that it lost. They hear of its return by their watch of the
-/// configuration, half a second after it was cut, and write at once; the rest is for a slow
-/// store.
-const REWRITE_SPAN: Duration = Duration::from_secs(3);
+/// Time after a restore of the store from a copy during which no free key is granted, because
+/// other entries may still rewrite the claims that the store has lost. They learn of the restore
+/// through their watch of the configuration, half a second after the watch was cut, and write
+/// at once; the remaining time is for a slow store.
+const REWRITE_WINDOW: Duration = Duration::from_secs(3);
 
-/// Longest wait, at random, before an entry writes again what the store has lost: all entries
-/// hear of its return at the same moment, and the first to write spares the others that.
-const REWRITE_SPREAD: Duration = Duration::from_millis(1_200);
+/// Maximum random delay before an entry rewrites the claims that the store has lost. All entries
+/// learn of the restore at the same moment, and the first write makes those of the others
+/// unnecessary.
+const MAX_REWRITE_DELAY: Duration = Duration::from_millis(1_200);
 
-/// Wait before what the store has lost is tried again to be written: each entry does so for
+/// Delay before the next attempt to rewrite lost claims. Each entry makes these attempts for
 /// each log that it has read.
-const REWRITE_STEP: Duration = Duration::from_millis(500);
+const REWRITE_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Readings back of a lost answer.
-const READ_BACKS: u32 = 3;
+/// Maximum number of reads that check whether a write without a usable answer took effect.
+const MAX_READ_BACKS: u32 = 3;
 
-/// Wait from one reading back to the next.
-const READ_BACK_STEP: Duration = Duration::from_millis(100);
+/// Delay between two such reads.
+const READ_BACK_DELAY: Duration = Duration::from_millis(100);
 
-/// What came of a claim.
+/// Outcome of a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimOutcome {
-    /// The key belongs to the request that claimed it.
+    /// The request owns the key.
     Won,
-    /// It belongs to another one.
+    /// Another request, named here, owns the key.
     Taken(String),
-    /// The store is away: nobody knows, and nothing may run.
+    /// The store is unreachable: the owner is unknown, so the request must not run.
     Away,
 }
 
@@ -59,14 +60,14 @@
     answer: Option<oneshot::Sender<ClaimOutcome>>,
 }
 
-/// Writes claims, a task for each log that is in use.
+/// Writes claims to the store, with one task per log in use.
 pub struct ClaimStore {
     store: StoreClient,
     shards: RefCell<HashMap<u8, mpsc::UnboundedSender<PendingClaim>>>,
 }
 
 impl ClaimStore {
-    /// Works on `store`.
+    /// Creates a claim store that uses `store`.
     #[must_use]
     pub fn new(store: StoreClient) -> Self {
         ClaimStore { store, shards: RefCell::default() }
@@ -80,7 +81,7 @@
         answer.await.unwrap_or(ClaimOutcome::Away)
     }
 
-    /// Gives a key back whose request was not run.
+    /// Releases a key whose request was not run.
     pub fn release(&self, key: ClaimKey, request: String) {
         let record = ClaimRecord { key, request, is_release: true };
         self.send(PendingClaim { record, answer: None });
@@ -95,7 +96,7 @@
             spawn_local(writer.run(receiver));
             sender
         });
-        // The task runs as long as this store, which holds its sender.
+        // The task runs as long as this store holds its sender.
         let _ = sender.send(pending);
     }
 }
@@ -104,17 +105,18 @@
     store: StoreClient,
     shard: u8,
     log: Option<ClaimLog>,
-    /// Epoch of the store in which the log was read.
+    /// Store epoch in which the log was read.
     log_epoch: u64,
-    /// Where the log begins, as it was read or written last.
+    /// Head of the log, as last read or written.
     head: ClaimHead,
-    /// Until when others may still write again what the store has lost.
-    closed_until: Option<Instant>,
-    /// Claims that the store has lost and that are to be written again.
+    /// End of the time in which other entries may still rewrite lost claims.
+    rewrite_end: Option<Instant>,
+    /// Claims that the store has lost and that have to be rewritten.
     lost: Vec<ClaimRecord>,
-    /// When this writer does so, none where that is not decided.
+    /// When this writer rewrites lost claims; `None` if no time is chosen.
     rewrite_at: Option<Instant>,
-    leftover: Vec<ClaimRecord>,
+    /// Releases of failed batches, to be written with the next batch.
+    unwritten_releases: Vec<ClaimRecord>,
 }
 
 impl ShardWriter {
@@ -125,23 +127,23 @@
             log: None,
             log_epoch: 0,
             head: ClaimHead::default(),
-            closed_until: None,
+            rewrite_end: None,
             lost: Vec::new(),
             rewrite_at: None,
-            leftover: Vec::new(),
+            unwritten_releases: Vec::new(),
         }
     }
 
-    /// Returns true where the store lacks what this writer knows.
+    /// Returns `true` if the store may lack claims that this writer knows.
     fn is_rewrite_due(&self) -> bool {
         let is_outdated = self.log_epoch != self.store.epoch();
         (self.log.is_some() && is_outdated) || !self.lost.is_empty()
     }
 
-    /// When what the store has lost is tried to be written.
+    /// Returns the time of the next attempt to rewrite lost claims.
     fn next_rewrite(&self) -> Instant {
-        let step = Instant::now() + REWRITE_STEP;
-        self.rewrite_at.map_or(step, |at| if at > Instant::now() { at } else { step })
+        let retry = Instant::now() + REWRITE_RETRY_DELAY;
+        self.rewrite_at.map_or(retry, |at| if at > Instant::now() { at } else { retry })
     }
 
     async fn run(mut self, mut pending: mpsc::UnboundedReceiver<PendingClaim>) {
@@ -153,11 +155,11 @@
                     if count == 0 {
                         return;
                     }
-                    tokio::time::sleep(GATHER).await;
+                    tokio::time::sleep(BATCH_WINDOW).await;
                 }
-                // What the store has lost is written again, whether anybody asks or not.
+                // Lost claims are rewritten even if no new claim arrives.
                 _ = epochs.changed() => {
-                    self.rewrite_at = Some(Instant::now() + REWRITE_SPREAD.mul_f64(rand::random()));
+                    self.rewrite_at = Some(Instant::now() + MAX_REWRITE_DELAY.mul_f64(rand::random()));
                     continue;
                 }
                 () = tokio::time::sleep_until(self.next_rewrite()), if self.is_rewrite_due() => {}
@@ -167,68 +169,68 @@
             {
                 batch.push(more);
             }
-            self.settle(std::mem::take(&mut batch)).await;
+            self.write_batch(std::mem::take(&mut batch)).await;
         }
     }
 
-    /// Writes a batch and answers every claim of it.
-    async fn settle(&mut self, batch: Vec<PendingClaim>) {
-        let mut records = std::mem::take(&mut self.leftover);
-        records.extend(batch.iter().map(|one| one.record.clone()));
-        let is_known = self.write(&records).await.is_ok();
-        if !is_known {
+    /// Writes a batch and answers each of its claims.
+    async fn write_batch(&mut self, batch: Vec<PendingClaim>) {
+        let mut records = std::mem::take(&mut self.unwritten_releases);
+        records.extend(batch.iter().map(|pending| pending.record.clone()));
+        let is_written = self.write(&records).await.is_ok();
+        if !is_written {
             self.keep_releases(records);
         }
-        for one in batch {
-            let Some(answer) = one.answer else { continue };
-            let owner = self.log.as_ref().and_then(|log| log.owner(&one.record.key));
+        for pending in batch {
+            let Some(answer) = pending.answer else { continue };
+            let owner = self.log.as_ref().and_then(|log| log.owner(&pending.record.key));
             let outcome = match owner {
-                _ if !is_known => ClaimOutcome::Away,
-                Some(owner) if owner == one.record.request => ClaimOutcome::Won,
+                _ if !is_written => ClaimOutcome::Away,
+                Some(owner) if owner == pending.record.request => ClaimOutcome::Won,
                 Some(owner) => ClaimOutcome::Taken(owner.to_owned()),
                 None => ClaimOutcome::Away,
             };
-            // A caller that went away has no use for the answer.
+            // If the caller has disconnected, the answer is not needed.
             let _ = answer.send(outcome);
         }
     }
 
-    /// Keeps for the next batch that keys are to be given back: also those whose
-    /// claim may yet take effect, and whose request was refused.
+    /// Keeps the releases of a failed batch for the next one, and turns its claims into
+    /// releases: such a claim may still take effect although its request was refused.
     fn keep_releases(&mut self, records: Vec<ClaimRecord>) {
-        let releases = records.into_iter().map(|one| ClaimRecord { is_release: true, ..one });
-        self.leftover = releases.collect();
-        self.leftover.truncate(MAX_BATCH);
+        let releases = records.into_iter().map(|record| ClaimRecord { is_release: true, ..record });
+        self.unwritten_releases = releases.collect();
+        self.unwritten_releases.truncate(MAX_BATCH);
     }
 
-    /// Writes what is worth writing, behind all that others have written.
+    /// Appends the records that change the log behind all segments of other writers.
     async fn write(&mut self, records: &[ClaimRecord]) -> Result<()> {
         self.load().await?;
-        let rewrites = self.rewrites(records);
-        if rewrites && !self.lost.is_empty() {
+        let is_rewrite = self.is_rewrite(records);
+        if is_rewrite && !self.lost.is_empty() {
             self.catch_up().await?;
         }
         loop {
-            let is_closed = self.closed_until.is_some_and(|until| Instant::now() < until);
+            let awaits_rewrites = self.rewrite_end.is_some_and(|until| Instant::now() < until);
             let Some(log) = &mut self.log else {
-                return Err(Error::unreachable("no log"));
+                return Err(Error::unreachable("claim log not loaded"));
             };
             let at = wall_micros() / 1_000_000;
             let first = log.expire(at).unwrap_or(self.head.first);
-            let epoch = if is_closed { self.head.epoch } else { self.log_epoch };
+            let epoch = if awaits_rewrites { self.head.epoch } else { self.log_epoch };
             let head = ClaimHead { first, epoch };
             if head != self.head {
                 self.head = head;
                 let name = head_name(self.shard);
-                spawn_local(move_head(self.store.clone(), name, head));
+                spawn_local(advance_head(self.store.clone(), name, head));
             }
-            let wanted = records.iter().filter(|one| one.is_release || !is_closed);
-            let lost = self.lost.iter().filter(|_| rewrites);
-            let wanted: Vec<_> = lost.chain(wanted).cloned().collect();
-            let mut selected = log.select(&wanted);
+            let writable = records.iter().filter(|record| record.is_release || !awaits_rewrites);
+            let lost = self.lost.iter().filter(|_| is_rewrite);
+            let writable: Vec<_> = lost.chain(writable).cloned().collect();
+            let mut selected = log.select(&writable);
             selected.truncate(MAX_BATCH);
             if selected.is_empty() {
-                if rewrites {
+                if is_rewrite {
                     self.lost.clear();
                 }
                 return Ok(());
@@ -238,7 +240,7 @@
             let segment = ClaimSegment { token, at, records: selected };
             let found = self.create(number, &segment).await?;
             if self.store.epoch() != self.log_epoch {
-                // The store came back from a copy: the segment may stand behind a gap.
+                // The store was restored from a copy: there may be a gap before the segment.
                 self.load().await?;
                 continue;
             }
@@ -248,26 +250,26 @@
         }
     }
 
-    /// Creates a segment. Returns the one that is there in the end: this one,
+    /// Creates a segment. Returns the segment that is stored under the number: this one,
     /// or that of a faster writer.
     async fn create(&self, number: u64, segment: &ClaimSegment) -> Result<ClaimSegment> {
-        let name = self.name(number);
+        let name = self.segment_name(number);
         let Err(cause) = self.store.put(&name, to_bytes(segment), 0).await else {
             return Ok(segment.clone());
         };
-        for _ in 0..READ_BACKS {
+        for _ in 0..MAX_READ_BACKS {
             match read(&self.store, &name).await {
                 Ok(Some(found)) => return Ok(found),
-                // The write was refused, and has not taken effect.
+                // The store refused the write, so it has not taken effect.
                 Ok(None) if !cause.is_unreachable() => return Err(cause),
-                _ => tokio::time::sleep(READ_BACK_STEP).await,
+                _ => tokio::time::sleep(READ_BACK_DELAY).await,
             }
         }
         Err(cause)
     }
 
-    /// Reads the log up to its end, once in each epoch of the store. What others write later
-    /// is found where this writer wants to write.
+    /// Reads the log up to its end, once per store epoch. Segments that other writers add later
+    /// are found when this writer tries to create a segment under the same number.
     async fn load(&mut self) -> Result<()> {
         if self.log.is_some() && self.log_epoch == self.store.epoch() {
             return Ok(());
@@ -276,11 +278,13 @@
         let head = head.unwrap_or_default();
         let epoch = self.store.epoch();
         let mut log = ClaimLog::new(head);
-        while let Some(segment) = read(&self.store, &self.name(log.next())).await? {
+        while let Some(segment) = read(&self.store, &self.segment_name(log.next())).await? {
             log.push(&segment);
         }
         if self.store.epoch() != epoch {
-            return Err(Error::unreachable("the store came back while its log was read"));
+            return Err(Error::unreachable(
+                "store restored from a copy while a claim log was read",
+            ));
         }
         if let Some(former) = &self.log {
             self.lost.extend(former.missing_in(&log));
@@ -288,26 +292,26 @@
         self.log = Some(log);
         self.log_epoch = epoch;
         self.head = head;
-        // Nobody has said since the store came back that the log is whole again.
-        let is_rewritten = head.epoch >= epoch;
-        self.closed_until = (!is_rewritten).then(|| Instant::now() + REWRITE_SPAN);
+        // Free keys are withheld until the head shows that the log is complete in this epoch.
+        let is_complete = head.epoch >= epoch;
+        self.rewrite_end = (!is_complete).then(|| Instant::now() + REWRITE_WINDOW);
         Ok(())
     }
 
-    /// Returns true where what was lost is to be written with these records. Before its turn
-    /// this writer leaves that to others, unless a key might be given out that was lost, or is
-    /// given back.
-    fn rewrites(&self, records: &[ClaimRecord]) -> bool {
+    /// Returns `true` if lost claims have to be written together with these records. Until its
+    /// chosen time this writer leaves the rewrite to other entries, unless keys whose claims
+    /// were lost could be granted or the records contain a release.
+    fn is_rewrite(&self, records: &[ClaimRecord]) -> bool {
         let now = Instant::now();
-        let is_closed = self.closed_until.is_some_and(|until| now < until);
-        let is_turn = self.rewrite_at.is_none_or(|at| now >= at);
-        is_turn || !is_closed || records.iter().any(|one| one.is_release)
+        let awaits_rewrites = self.rewrite_end.is_some_and(|until| now < until);
+        let is_due = self.rewrite_at.is_none_or(|at| now >= at);
+        is_due || !awaits_rewrites || records.iter().any(|record| record.is_release)
     }
 
-    /// Reads what others have written since the log was read.
+    /// Reads the segments that other writers have added since the log was read.
     async fn catch_up(&mut self) -> Result<()> {
         while let Some(number) = self.log.as_ref().map(ClaimLog::next)
-            && let Some(segment) = read(&self.store, &self.name(number)).await?
+            && let Some(segment) = read(&self.store, &self.segment_name(number)).await?
         {
             if let Some(log) = &mut self.log {
                 log.push(&segment);
@@ -316,7 +320,7 @@
         Ok(())
     }
 
-    fn name(&self, number: u64) -> String {
+    fn segment_name(&self, number: u64) -> String {
         format!("claims/{}/{number}", self.shard)
     }
 }
@@ -330,13 +334,14 @@
     serde_json::from_slice(&stored.content).map(Some).map_err(Error::unreachable)
 }
 
-/// Moves the beginning of a log, where no other has. If this fails, the next one moves it
-/// further.
-async fn move_head(store: StoreClient, name: String, head: ClaimHead) {
+/// Advances the stored head of a log, unless another writer has done so. If this fails, the
+/// next change of the head advances it further.
+async fn advance_head(store: StoreClient, name: String, head: ClaimHead) {
     let Ok(stored) = store.get(&name).await else { return };
-    let known = stored.as_ref().and_then(|stored| serde_json::from_slice(&stored.content).ok());
-    if known.is_some_and(|known: ClaimHead| known.first >= head.first && known.epoch >= head.epoch)
-    {
+    let current = stored.as_ref().and_then(|stored| serde_json::from_slice(&stored.content).ok());
+    if current.is_some_and(|current: ClaimHead| {
+        current.first >= head.first && current.epoch >= head.epoch
+    }) {
         return;
     }
     let version = stored.map_or(0, |stored| stored.version);
@@ -347,5 +352,5 @@
     serde_json::to_vec(value).unwrap_or_default().into()
 }
 
-/// A claim store that tasks of one thread share.
+/// A claim store that the tasks of one thread share.
 pub(crate) type SharedClaims = Rc<ClaimStore>;
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -1,8 +1,8 @@
-//! Links between entries and agents: WebSocket, with a handshake by shared key.
+//! Links between entries and agents: WebSocket connections with a shared-key handshake.
 //!
-//! The connecting side says who it is, both sides prove that they hold the
-//! fleet's key, and then either sends frames. Control frames go before body
-//! frames, so that a prompt of megabytes delays no probe.
+//! The connecting side sends its process id, both sides prove that they hold the
+//! fleet's key, and then both may send frames. Control frames are sent before body
+//! frames, so that a prompt of several megabytes does not delay a probe.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -26,36 +26,39 @@
     Framed, MAX_FRAME, PROTOCOL_VERSION, ToAgent, ToEntry, from_control, to_control,
 };
 
-/// Longest time for a connection and its handshake.
-const HANDSHAKE_LIMIT: Duration = Duration::from_secs(3);
+/// Timeout for a connection attempt and its handshake.
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Silence after which a busy link is tried with a ping.
-const PING_AFTER: Duration = Duration::from_secs(1);
+/// Time without a received frame after which a link with open attempts is pinged.
+const PING_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Silence after which a busy link counts as dead.
-const DEAD_AFTER: Duration = Duration::from_secs(3);
+/// Time without a received frame after which a link with open attempts counts as dead.
+const DEAD_PEER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Time without work after which a connecting side closes the link.
-const IDLE_AFTER: Duration = Duration::from_secs(120);
+/// Time without traffic or open attempts after which the connecting side closes a link.
+const LINK_IDLE_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// Control frames that wait for a slow link before it is given up.
+/// Capacity of a link's queue of control frames. A link whose queue is full counts as
+/// too slow.
 pub(crate) const CONTROL_QUEUE: usize = 16_384;
 
-/// Body frames that wait for a slow link before it is given up.
+/// Capacity of a link's queue of body frames. A link whose queue is full counts as
+/// too slow.
 pub(crate) const BODY_QUEUE: usize = 512;
 
 type Socket = WebSocketStream<TcpStream>;
 type Nonce = [u8; 16];
 
-/// Who a process is and the key by which it proves to be of the fleet.
+/// Id of a process, with the key that proves its membership of the fleet.
 #[derive(Clone)]
 pub struct PeerIdentity {
-    /// The process.
+    /// Id of the process.
     pub process: ProcessId,
-    /// The fleet's shared key.
+    /// Shared key of the fleet.
     pub key: std::sync::Arc<str>,
 }
 
+/// First message of the handshake, from the connecting side.
 #[derive(Serialize, Deserialize)]
 struct Hello {
     version: u16,
@@ -63,6 +66,7 @@
     nonce: Nonce,
 }
 
+/// Answer of the accepting side, with its proof.
 #[derive(Serialize, Deserialize)]
 struct Challenge {
     version: u16,
@@ -71,24 +75,26 @@
     proof: Vec<u8>,
 }
 
+/// Last message of the handshake: the proof of the connecting side.
 #[derive(Serialize, Deserialize)]
 struct Proof {
     proof: Vec<u8>,
 }
 
-/// Frames to be sent over a link.
+/// Sending ends of a link's queues of outgoing frames.
 #[derive(Clone)]
 pub(crate) struct LinkSender {
     control: mpsc::Sender<Bytes>,
     body: mpsc::Sender<Bytes>,
 }
 
-/// The sending ends' counterpart, kept by the link's task.
+/// Receiving ends of a link's queues of outgoing frames, drained by the link's task.
 pub(crate) struct LinkQueue {
     control: mpsc::Receiver<Bytes>,
     body: mpsc::Receiver<Bytes>,
 }
 
+/// Creates the queues of a link.
 pub(crate) fn link_queue() -> (LinkSender, LinkQueue) {
     let (control_in, control) = mpsc::channel(CONTROL_QUEUE);
     let (body_in, body) = mpsc::channel(BODY_QUEUE);
@@ -96,7 +102,7 @@
 }
 
 impl LinkSender {
-    /// Queues a frame, false where the link is gone or too slow.
+    /// Queues a frame. Returns `false` if the link has ended or its queue is full.
     pub(crate) fn send(&self, frame: Bytes, is_body: bool) -> bool {
         let queue = if is_body { &self.body } else { &self.control };
         queue.try_send(frame).is_ok()
@@ -110,12 +116,12 @@
         .accept_unmasked_frames(false)
 }
 
-/// Connects to an agent and shakes hands.
+/// Connects to an agent and performs the handshake.
 ///
 /// # Errors
 ///
-/// The address does not answer, or the other side lacks the key or the version.
-pub(crate) async fn connect(address: &str, me: &PeerIdentity) -> Result<(Socket, ProcessId)> {
+/// The address does not answer in time, or the peer has another key or protocol version.
+pub(crate) async fn connect(address: &str, identity: &PeerIdentity) -> Result<(Socket, ProcessId)> {
     let work = async {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
@@ -123,52 +129,57 @@
         let config = Some(socket_config());
         let opened = tokio_tungstenite::client_async_with_config(request, stream, config).await;
         let (mut socket, _) = opened.map_err(Error::unreachable)?;
-        let peer = greet(&mut socket, me).await?;
+        let peer = initiate_handshake(&mut socket, identity).await?;
         Ok((socket, peer))
     };
-    timeout(HANDSHAKE_LIMIT, work).await.map_err(Error::unreachable)?
+    timeout(HANDSHAKE_TIMEOUT, work).await.map_err(Error::unreachable)?
 }
 
-/// Accepts an entry's connection and shakes hands.
+/// Accepts an entry's connection and performs the handshake.
 ///
 /// # Errors
 ///
-/// The other side is slow, or lacks the key or the version.
-pub(crate) async fn accept(stream: TcpStream, me: &PeerIdentity) -> Result<(Socket, ProcessId)> {
+/// The peer does not answer in time, or has another key or protocol version.
+pub(crate) async fn accept(
+    stream: TcpStream,
+    identity: &PeerIdentity,
+) -> Result<(Socket, ProcessId)> {
     let work = async {
         stream.set_nodelay(true)?;
         let opened = tokio_tungstenite::accept_async_with_config(stream, Some(socket_config()));
         let mut socket = opened.await.map_err(Error::unreachable)?;
-        let peer = welcome(&mut socket, me).await?;
+        let peer = accept_handshake(&mut socket, identity).await?;
         Ok((socket, peer))
     };
-    timeout(HANDSHAKE_LIMIT, work).await.map_err(Error::unreachable)?
+    timeout(HANDSHAKE_TIMEOUT, work).await.map_err(Error::unreachable)?
 }
 
-async fn greet(socket: &mut Socket, me: &PeerIdentity) -> Result<ProcessId> {
+/// Performs the handshake as the connecting side. Returns the id of the peer.
+async fn initiate_handshake(socket: &mut Socket, identity: &PeerIdentity) -> Result<ProcessId> {
     let nonce: Nonce = rand::rng().random();
-    let hello = Hello { version: PROTOCOL_VERSION, process: me.process.clone(), nonce };
+    let hello = Hello { version: PROTOCOL_VERSION, process: identity.process.clone(), nonce };
     send_control(socket, &hello).await?;
     let challenge: Challenge = receive_control(socket).await?;
     check_version(challenge.version)?;
-    let mac = prove(&me.key, "agent", &nonce, &challenge.nonce, &challenge.process);
+    let mac = proof_code(&identity.key, "agent", &nonce, &challenge.nonce, &challenge.process);
     check_proof(mac, &challenge.proof)?;
-    let mac = prove(&me.key, "entry", &nonce, &challenge.nonce, &me.process);
+    let mac = proof_code(&identity.key, "entry", &nonce, &challenge.nonce, &identity.process);
     let proof = mac.finalize().into_bytes().to_vec();
     send_control(socket, &Proof { proof }).await?;
     Ok(challenge.process)
 }
 
-async fn welcome(socket: &mut Socket, me: &PeerIdentity) -> Result<ProcessId> {
+/// Performs the handshake as the accepting side. Returns the id of the peer.
+async fn accept_handshake(socket: &mut Socket, identity: &PeerIdentity) -> Result<ProcessId> {
     let hello: Hello = receive_control(socket).await?;
     check_version(hello.version)?;
     let nonce: Nonce = rand::rng().random();
-    let mac = prove(&me.key, "agent", &hello.nonce, &nonce, &me.process);
+    let mac = proof_code(&identity.key, "agent", &hello.nonce, &nonce, &identity.process);
     let proof = mac.finalize().into_bytes().to_vec();
-    let process = me.process.clone();
+    let process = identity.process.clone();
     send_control(socket, &Challenge { version: PROTOCOL_VERSION, process, nonce, proof }).await?;
     let answer: Proof = receive_control(socket).await?;
-    let mac = prove(&me.key, "entry", &hello.nonce, &nonce, &hello.process);
+    let mac = proof_code(&identity.key, "entry", &hello.nonce, &nonce, &hello.process);
     check_proof(mac, &answer.proof)?;
     Ok(hello.process)
 }
@@ -180,20 +191,28 @@
     Err(Error::from_code(ErrorCode::Handshake("unknown protocol version")))
 }
 
+/// Compares a peer's proof with the expected code.
 fn check_proof(mac: Hmac<Sha256>, proof: &[u8]) -> Result<()> {
-    let wrong = |_| Error::from_code(ErrorCode::Handshake("wrong key"));
-    mac.verify_slice(proof).map_err(wrong)
+    let wrong_key = |_| Error::from_code(ErrorCode::Handshake("wrong key"));
+    mac.verify_slice(proof).map_err(wrong_key)
 }
 
-fn prove(key: &str, role: &str, first: &Nonce, second: &Nonce, who: &ProcessId) -> Hmac<Sha256> {
-    // HMAC takes keys of any length, so this can not fail.
+/// Computes the code by which `process` proves in its role that it holds the key.
+fn proof_code(
+    key: &str,
+    role: &str,
+    entry_nonce: &Nonce,
+    agent_nonce: &Nonce,
+    process: &ProcessId,
+) -> Hmac<Sha256> {
+    // HMAC accepts keys of any length, so this can not fail.
     let Ok(mut mac) = Hmac::<Sha256>::new_from_slice(key.as_bytes()) else {
-        unreachable!("hmac takes keys of any length")
+        unreachable!("hmac accepts keys of any length")
     };
     mac.update(role.as_bytes());
-    mac.update(first);
-    mac.update(second);
-    mac.update(who.to_string().as_bytes());
+    mac.update(entry_nonce);
+    mac.update(agent_nonce);
+    mac.update(process.to_string().as_bytes());
     mac
 }
 
@@ -211,17 +230,17 @@
     }
 }
 
-/// A message as a link keeps count of open work by it.
+/// A message from which a link derives its open attempts.
 pub(crate) trait LinkMessage: Framed {
-    /// The attempt whose work begins or goes on with this message.
-    fn opens(&self) -> Option<AttemptKey>;
+    /// Returns the attempt that this message opens or keeps open.
+    fn opened_attempt(&self) -> Option<AttemptKey>;
 
-    /// The attempt whose work ends with this message.
-    fn closes(&self) -> Option<AttemptKey>;
+    /// Returns the attempt that this message closes.
+    fn closed_attempt(&self) -> Option<AttemptKey>;
 }
 
 impl LinkMessage for ToAgent {
-    fn opens(&self) -> Option<AttemptKey> {
+    fn opened_attempt(&self) -> Option<AttemptKey> {
         match self {
             ToAgent::Dispatch(dispatch) => Some(dispatch.attempt),
             ToAgent::Resume(resume) => Some(resume.attempt),
@@ -230,7 +249,7 @@
         }
     }
 
-    fn closes(&self) -> Option<AttemptKey> {
+    fn closed_attempt(&self) -> Option<AttemptKey> {
         match self {
             ToAgent::Cancel(key) | ToAgent::Release(key) => Some(*key),
             _ => None,
@@ -239,11 +258,11 @@
 }
 
 impl LinkMessage for ToEntry {
-    fn opens(&self) -> Option<AttemptKey> {
+    fn opened_attempt(&self) -> Option<AttemptKey> {
         None
     }
 
-    fn closes(&self) -> Option<AttemptKey> {
+    fn closed_attempt(&self) -> Option<AttemptKey> {
         match self {
             ToEntry::Refused { attempt, .. }
             | ToEntry::Done(attempt, _)
@@ -254,16 +273,17 @@
     }
 }
 
-/// Attempts that are open on a link, shared by its two directions.
+/// Attempts that are open on a link, shared by both of its directions.
 #[derive(Debug, Default)]
 pub(crate) struct OpenWork(HashSet<AttemptKey>);
 
 impl OpenWork {
+    /// Records a message that the link sends or receives.
     pub(crate) fn note<M: LinkMessage>(&mut self, message: &M) {
-        if let Some(key) = message.opens() {
+        if let Some(key) = message.opened_attempt() {
             self.0.insert(key);
         }
-        if let Some(key) = message.closes() {
+        if let Some(key) = message.closed_attempt() {
             self.0.remove(&key);
         }
     }
@@ -273,45 +293,46 @@
     }
 }
 
-/// Why a link ended.
+/// The reason why a link ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LinkEnd {
-    /// This side let go of its sender, or the other side closed.
+    /// This side dropped its sender, or the peer closed the link.
     Closed,
-    /// A frame that is not of the protocol.
+    /// The peer sent a frame that can not be decoded.
     BadFrame,
-    /// No sign of life.
+    /// The peer sent nothing although attempts were open.
     Silent,
-    /// Nothing to do.
+    /// The link carried no traffic and had no open attempt.
     Idle,
 }
 
-/// Which side of a link this is.
+/// A side of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LinkSide {
-    /// The connecting side: watches the other, and closes when idle.
+    /// The connecting side: monitors the peer, and closes the link when it is idle.
     Connecting,
     /// The accepting side.
     Accepting,
 }
 
-/// Moves frames until the link ends. `on_message` returns false to end it.
+/// Transfers frames in both directions until the link ends, and hands received messages to
+/// `on_message`.
 pub(crate) async fn run_link<In: LinkMessage>(
     mut socket: Socket,
     mut queue: LinkQueue,
     side: LinkSide,
-    work: &std::cell::RefCell<OpenWork>,
+    open_work: &std::cell::RefCell<OpenWork>,
     mut on_message: impl FnMut(In),
 ) -> LinkEnd {
-    let mut heard = Instant::now();
-    let mut used = heard;
-    let mut beat = tokio::time::interval(PING_AFTER);
+    let mut last_received = Instant::now();
+    let mut last_used = last_received;
+    let mut ping_timer = tokio::time::interval(PING_INTERVAL);
     loop {
         tokio::select! {
             biased;
             frame = queue.control.recv() => {
                 let Some(frame) = frame else { break };
-                used = Instant::now();
+                last_used = Instant::now();
                 if socket.feed(Message::Binary(frame)).await.is_err() {
                     return LinkEnd::Closed;
                 }
@@ -326,12 +347,12 @@
             }
             incoming = socket.next() => {
                 let Some(Ok(incoming)) = incoming else { return LinkEnd::Closed };
-                heard = Instant::now();
+                last_received = Instant::now();
                 match incoming {
                     Message::Binary(frame) => {
-                        used = heard;
+                        last_used = last_received;
                         let Ok(message) = In::from_frame(frame) else { return LinkEnd::BadFrame };
-                        work.borrow_mut().note(&message);
+                        open_work.borrow_mut().note(&message);
                         on_message(message);
                     }
                     Message::Ping(_) | Message::Pong(_) => {}
@@ -339,26 +360,26 @@
                 }
             }
             Some(frame) = queue.body.recv() => {
-                used = Instant::now();
+                last_used = Instant::now();
                 if socket.send(Message::Binary(frame)).await.is_err() {
                     return LinkEnd::Closed;
                 }
             }
-            _ = beat.tick(), if side == LinkSide::Connecting => {
-                let is_busy = !work.borrow().is_empty();
-                if !is_busy && used.elapsed() > IDLE_AFTER {
+            _ = ping_timer.tick(), if side == LinkSide::Connecting => {
+                let has_work = !open_work.borrow().is_empty();
+                if !has_work && last_used.elapsed() > LINK_IDLE_TIMEOUT {
                     break;
                 }
-                if !is_busy {
-                    heard = Instant::now();
+                if !has_work {
+                    last_received = Instant::now();
                     continue;
                 }
-                let silence = heard.elapsed();
-                if silence > DEAD_AFTER {
+                let silence = last_received.elapsed();
+                if silence > DEAD_PEER_TIMEOUT {
                     return LinkEnd::Silent;
                 }
-                // A stream of answers is a sign of life by itself.
-                if silence < PING_AFTER {
+                // Received frames show that the peer is alive, so no ping is needed.
+                if silence < PING_INTERVAL {
                     continue;
                 }
                 if socket.send(Message::Ping(Bytes::new())).await.is_err() {
@@ -367,6 +388,6 @@
             }
         }
     }
-    let _ = timeout(HANDSHAKE_LIMIT, socket.close(None)).await;
-    if used.elapsed() > IDLE_AFTER { LinkEnd::Idle } else { LinkEnd::Closed }
+    let _ = timeout(HANDSHAKE_TIMEOUT, socket.close(None)).await;
+    if last_used.elapsed() > LINK_IDLE_TIMEOUT { LinkEnd::Idle } else { LinkEnd::Closed }
 }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,8 +1,8 @@
 //! Messages between entries and agents, and their frames.
 //!
-//! Control messages are CBOR. Prompt text and answer text travel in frames
-//! of their own with a fixed head, so that a prompt of megabytes is sliced,
-//! never copied, on its way.
+//! Control messages are CBOR. Prompt text and answer text travel in separate
+//! data frames with a fixed-size header, so that a prompt of several megabytes
+//! is sliced and never copied on its way.
 
 use std::sync::Arc;
 
@@ -17,236 +17,237 @@
 use crate::prefix::PrefixMarks;
 use crate::verdict::Verdict;
 
-/// Version of the protocol that this build speaks.
+/// Version of the protocol between entries and agents.
 pub const PROTOCOL_VERSION: u16 = 1;
 
-/// Largest frame that either side accepts, in bytes.
+/// Maximum size of a frame that either side accepts, in bytes.
 pub const MAX_FRAME: usize = 256 * 1024;
 
-/// Payload of one body frame, in bytes.
+/// Maximum payload of one body frame, in bytes.
 pub const BODY_FRAME: usize = 64 * 1024;
 
 const KIND_CONTROL: u8 = 0;
 const KIND_BODY: u8 = 1;
 const KIND_CHUNK: u8 = 2;
-const HEAD: usize = 1 + 8 + 2 + 8;
+/// Length of a data frame's header: kind, request number, attempt number and offset.
+const HEADER_LEN: usize = 1 + 8 + 2 + 8;
 
-/// Tokens that a request needs of an engine.
+/// Tokens that a request needs on an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TokenNeed {
-    /// Estimated tokens of the prompt.
+    /// Estimated number of prompt tokens.
     #[serde(rename = "p")]
     pub prompt: u64,
-    /// Most tokens of the answer.
+    /// Maximum number of answer tokens.
     #[serde(rename = "a")]
     pub answer: u64,
 }
 
 impl TokenNeed {
-    /// Tokens of memory that prompt and answer take together.
+    /// Returns the tokens of memory that prompt and answer take together.
     #[must_use]
     pub fn total(self) -> u64 {
         self.prompt + self.answer
     }
 }
 
-/// Asks an agent what it would do with a request.
+/// Asks an agent for its predictions about a request, without dispatching it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Probe {
-    /// Names the answer.
+    /// Number of the probe, repeated in the answer.
     #[serde(rename = "n")]
     pub number: u64,
-    /// Model wanted.
+    /// Requested model.
     #[serde(rename = "m")]
     pub model: Arc<str>,
-    /// Tokens needed.
+    /// Tokens that the request needs.
     #[serde(rename = "t")]
     pub need: TokenNeed,
     /// Urgency of the request.
     #[serde(rename = "u")]
     pub urgency: Urgency,
-    /// Marks of the prompt.
+    /// Hashes of the prompt's prefixes.
     #[serde(rename = "x")]
     pub marks: PrefixMarks,
 }
 
-/// What an agent would do with a request.
+/// An agent's predictions about a probed request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProbeAnswer {
-    /// Number of the probe.
+    /// Number of the answered probe.
     #[serde(rename = "n")]
     pub number: u64,
-    /// False where the target is leaving, not ready or lacks the model.
+    /// `false` if the target is leaving, is not ready or lacks the model.
     #[serde(rename = "o")]
     pub open: bool,
-    /// Predicted wait before the engine takes the request, in microseconds.
+    /// Predicted wait before the engine starts the request, in microseconds.
     #[serde(rename = "w")]
     pub wait_us: u64,
-    /// Predicted time to prefill what is not cached, in microseconds.
+    /// Predicted time to prefill the uncached part of the prompt, in microseconds.
     #[serde(rename = "p")]
     pub prefill_us: u64,
-    /// Tokens of the prompt that are cached.
+    /// Number of prompt tokens in the engine's prefix cache.
     #[serde(rename = "c")]
     pub cached_tokens: u64,
-    /// Tokens of memory that no lease holds.
+    /// Tokens of memory that are not leased.
     #[serde(rename = "f")]
     pub free_tokens: u64,
-    /// Tokens of memory in all, zero for a plain service.
+    /// Total tokens of memory, zero for a plain service.
     #[serde(rename = "k")]
     pub capacity_tokens: u64,
-    /// Highest configuration version that the agent has heard of.
+    /// Highest configuration version that the agent has received.
     #[serde(rename = "v")]
     pub config_version: ConfigVersion,
 }
 
-/// A part of a prompt's memory on a further engine.
+/// A part of a prompt's memory that another engine holds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Shard {
-    /// Address of the engine that holds it.
+    /// Address of the engine.
     pub engine: Arc<str>,
-    /// Tokens held there.
+    /// Tokens held on that engine.
     pub tokens: u64,
 }
 
-/// How a target is called.
+/// The call that a target executes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Call {
-    /// A model's completion of a caller's JSON body.
+    /// A completion request to a model, with the caller's JSON body.
     Model {
-        /// Model wanted.
+        /// Requested model.
         model: Arc<str>,
         /// Path of the caller's request.
         path: Arc<str>,
     },
-    /// A plain service's call.
+    /// A call of a plain service.
     Plain {
-        /// Method.
+        /// HTTP method.
         method: Arc<str>,
-        /// Path and query below the service.
+        /// Path and query, relative to the service.
         path: Arc<str>,
         /// Content type of the body.
         content_type: Arc<str>,
-        /// The caller's idempotency key, empty where it gave none.
+        /// The caller's idempotency key, empty if the request has none.
         key: Arc<str>,
     },
 }
 
-/// Gives an agent one attempt of a request. The body follows in body frames.
+/// Hands one attempt of a request to an agent. The body follows in body frames.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Dispatch {
     /// The attempt.
     pub attempt: AttemptKey,
-    /// The agent's life that this attempt is meant for.
+    /// Incarnation of the agent that the attempt is addressed to.
     pub incarnation: Incarnation,
-    /// What is to be done.
+    /// The call to execute.
     pub call: Call,
-    /// Client account, for fair shares.
+    /// Client account that fair queueing charges.
     pub account: Arc<str>,
-    /// Share of the account.
+    /// Weight of the account in fair queueing.
     pub weight: u32,
     /// Urgency of the request.
     pub urgency: Urgency,
-    /// Tokens needed.
+    /// Tokens that the request needs.
     pub need: TokenNeed,
-    /// Marks of the prompt.
+    /// Hashes of the prompt's prefixes.
     pub marks: PrefixMarks,
-    /// Bytes of the body that follows.
+    /// Length of the body that follows, in bytes.
     pub body_len: u64,
-    /// Time left, in microseconds.
+    /// Time left until the request's deadline, in microseconds.
     pub remaining_us: u64,
-    /// Memory that further engines hold for this attempt.
+    /// Parts of the prompt's memory that other engines hold for this attempt.
     pub shards: Vec<Shard>,
-    /// Longest predicted wait that it bears, in microseconds.
+    /// Longest predicted wait with which the agent may accept the attempt, in microseconds.
     pub max_wait_us: u64,
 }
 
-/// Asks for the rest of an answer, or for the fate of an attempt.
+/// Asks for the rest of an answer, or for the outcome of an attempt.
 ///
-/// An agent that does not know the attempt refuses it for good, so that a
-/// dispatch that comes later can not run.
+/// An agent that does not know the attempt refuses it permanently, so that a
+/// dispatch that arrives later can not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Resume {
     /// The attempt.
     pub attempt: AttemptKey,
-    /// The agent's life that the attempt was meant for.
+    /// Incarnation of the agent that the attempt was addressed to.
     pub incarnation: Incarnation,
-    /// Bytes of the answer that have arrived.
+    /// Number of answer bytes that the entry has received.
     pub offset: u64,
 }
 
-/// Reserves memory for a group, or prolongs the reservation.
+/// Reserves memory for a sharded prefill, or renews the reservation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hold {
     /// The attempt that the memory is for.
     pub attempt: AttemptKey,
-    /// Tokens.
+    /// Tokens to reserve.
     pub tokens: u64,
     /// Time until the reservation expires, in microseconds.
     pub expires_us: u64,
-    /// Prolongs a reservation, and never makes a new one: what an older one
-    /// held would be missing.
+    /// `true` if the message only renews a reservation. A renewal never creates a new
+    /// reservation, because the contents of the expired one would be missing.
     pub is_renewal: bool,
 }
 
-/// Asks an agent to let a request of a client account in.
+/// Asks an agent to admit a request of a client account.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AccountAsk {
     /// Number of the request at the entry.
     #[serde(rename = "n")]
     pub number: u64,
-    /// The account.
+    /// The client account.
     #[serde(rename = "a")]
     pub account: Arc<str>,
-    /// What the account may have beside the shares of all entries.
+    /// Part of the account's limits that the shares of the entries leave over.
     #[serde(rename = "r")]
     pub rest: AccountShare,
-    /// True where a former life of the agent let it in.
+    /// `true` if an earlier incarnation of the agent has already admitted the request.
     #[serde(rename = "h")]
     pub is_held: bool,
 }
 
-/// From an entry to an agent.
+/// A message from an entry to an agent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ToAgent {
-    /// Asks what the agent would do.
+    /// Asks for predictions about a request.
     #[serde(rename = "p")]
     Probe(Probe),
-    /// Gives it an attempt.
+    /// Hands over an attempt.
     #[serde(rename = "d")]
     Dispatch(Dispatch),
-    /// A part of an attempt's body, in order.
+    /// The next part of an attempt's body.
     #[serde(skip)]
     Body(AttemptKey, Bytes),
-    /// Ends an attempt that nobody wants any more.
+    /// Cancels an attempt whose answer is no longer needed.
     #[serde(rename = "c")]
     Cancel(AttemptKey),
-    /// Asks for the rest of an answer.
+    /// Asks for the rest of an answer, or for the outcome of an attempt.
     #[serde(rename = "r")]
     Resume(Resume),
-    /// Reserves memory.
+    /// Reserves memory, or renews a reservation.
     #[serde(rename = "h")]
     Hold(Hold),
-    /// Gives reserved memory back.
+    /// Releases reserved memory.
     #[serde(rename = "l")]
     Release(AttemptKey),
-    /// Tells the configuration version in force at the entry.
+    /// Announces the configuration version in force at the entry.
     #[serde(rename = "v")]
     ConfigVersion(ConfigVersion),
-    /// Asks it to let a request in.
+    /// Asks for the admission of a request of a client account.
     #[serde(rename = "g")]
     AskAccount(AccountAsk),
-    /// Such a request has ended, or is not asked for any more.
+    /// Releases the admission of a request that has ended, or withdraws the query for it.
     #[serde(rename = "e")]
     ReleaseAccount(u64),
 }
 
-/// Why an agent did not take an attempt. Each of these means it was not run.
+/// The reason why an agent refuses an attempt. A refused attempt was not run.
 #[derive(
     Clone, Copy, Debug, derive_more::Display, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize,
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum Refusal {
-    /// The attempt is meant for another life of the agent.
+    /// The attempt is addressed to another incarnation of the agent.
     #[display("other-incarnation")]
     OtherIncarnation,
     /// The target is leaving.
@@ -255,54 +256,54 @@
     /// The engine is not ready, or lacks the model.
     #[display("not-ready")]
     NotReady,
-    /// Not enough memory within the time left.
+    /// The engine does not free enough memory within the time left.
     #[display("no-memory")]
     NoMemory,
-    /// The queue could not be done within the time left.
+    /// The queue ahead of the attempt does not finish within the time left.
     #[display("too-late")]
     TooLate,
-    /// The wait is longer than the attempt bears.
+    /// The predicted wait exceeds the attempt's limit.
     #[display("busy")]
     Busy,
     /// The queue is full.
     #[display("queue-full")]
     QueueFull,
-    /// The attempt was given up before it came.
+    /// The attempt was cancelled before its dispatch arrived.
     #[display("given-up")]
     GivenUp,
-    /// The target could not be connected to.
+    /// The agent could not connect to the target.
     #[display("unreachable")]
     Unreachable,
 }
 
-/// How an answer ended.
+/// Figures of a complete answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Completion {
-    /// Bytes of the whole answer.
+    /// Length of the whole answer, in bytes.
     pub length: u64,
-    /// Tokens of the prompt, as the engine counted them.
+    /// Number of prompt tokens, as counted by the engine.
     pub prompt_tokens: u64,
-    /// Prompt tokens that came from the prefix cache.
+    /// Number of prompt tokens that came from the prefix cache.
     pub cached_tokens: u64,
-    /// Tokens of the answer.
+    /// Number of answer tokens.
     pub answer_tokens: u64,
-    /// Reason of the end, as the engine gave it.
+    /// Finish reason, as reported by the engine.
     pub finish_reason: Arc<str>,
-    /// Microseconds that the attempt waited at the agent.
+    /// Time that the attempt waited at the agent, in microseconds.
     pub waited_us: u64,
-    /// Microseconds that a short request would wait there now.
+    /// Predicted wait of a short request at the agent now, in microseconds.
     pub wait_us: u64,
 }
 
-/// From an agent to an entry.
+/// A message from an agent to an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ToEntry {
-    /// Answers whether a request of a client account is let in.
+    /// Answers whether a request of a client account is admitted.
     #[serde(rename = "g")]
     AccountAnswer {
         /// Number of the request at the entry.
         number: u64,
-        /// Time after which there may be room, in microseconds; none where it is let in.
+        /// Time after which to ask again, in microseconds; `None` if the request is admitted.
         wait_us: Option<u64>,
     },
     /// Answers a probe.
@@ -311,14 +312,14 @@
     /// The attempt is queued.
     #[serde(rename = "a")]
     Accepted(AttemptKey),
-    /// The attempt was not run and never will be.
+    /// The attempt was refused: it was not run and never will be.
     #[serde(rename = "r")]
     Refused {
         /// The attempt.
         attempt: AttemptKey,
-        /// Why.
+        /// Reason of the refusal.
         refusal: Refusal,
-        /// When to ask again, in microseconds.
+        /// Time after which to try again, in microseconds.
         retry_us: u64,
     },
     /// Status and content type of a plain service's answer.
@@ -326,32 +327,32 @@
     Head {
         /// The attempt.
         attempt: AttemptKey,
-        /// HTTP status.
+        /// HTTP status code.
         status: u16,
         /// Content type.
         content_type: Arc<str>,
     },
-    /// A part of the answer, from `offset` on.
+    /// A part of the answer, starting at `offset`.
     #[serde(skip)]
     Chunk {
         /// The attempt.
         attempt: AttemptKey,
-        /// Bytes of the answer before this part.
+        /// Number of answer bytes before this part.
         offset: u64,
-        /// The part.
+        /// Bytes of the part.
         text: Bytes,
     },
-    /// The answer is whole.
+    /// The answer is complete.
     #[serde(rename = "d")]
     Done(AttemptKey, Completion),
-    /// The attempt ended without a whole answer.
+    /// The attempt ended without a complete answer.
     #[serde(rename = "f")]
     Failed {
         /// The attempt.
         attempt: AttemptKey,
-        /// Whether it may have run.
+        /// Whether the attempt may have run.
         verdict: Verdict,
-        /// For a reader.
+        /// Human-readable cause of the failure.
         reason: Arc<str>,
     },
     /// Memory is reserved.
@@ -359,45 +360,45 @@
     Held {
         /// The attempt.
         attempt: AttemptKey,
-        /// Address of the engine that holds it.
+        /// Address of the engine that holds the memory.
         engine: Arc<str>,
     },
-    /// Memory is not reserved, or no longer.
+    /// Memory could not be reserved, or the reservation has ended.
     #[serde(rename = "n")]
     NotHeld(AttemptKey),
-    /// The target is leaving: no new work.
+    /// The target is leaving and accepts no new work.
     #[serde(rename = "l")]
     Leaving,
-    /// The engine has ended, or does not answer any more.
+    /// The engine has terminated or no longer responds.
     #[serde(rename = "t")]
     TargetLost,
 }
 
-/// A message that has a frame.
+/// A message that is encoded as one frame.
 pub trait Framed: Sized {
-    /// Writes the frame.
+    /// Encodes the message.
     fn to_frame(&self) -> Bytes;
 
-    /// Reads a frame.
+    /// Decodes a frame.
     ///
     /// # Errors
     ///
-    /// A frame that is too short, of an unknown kind, or not CBOR of this type.
+    /// The frame is too short, has an unknown kind, or is not CBOR of this type.
     fn from_frame(frame: Bytes) -> Result<Self>;
 }
 
 impl Framed for ToAgent {
     fn to_frame(&self) -> Bytes {
         match self {
-            ToAgent::Body(attempt, text) => to_data(KIND_BODY, *attempt, 0, text),
-            other => to_control(other),
+            ToAgent::Body(attempt, payload) => to_data(KIND_BODY, *attempt, 0, payload),
+            control => to_control(control),
         }
     }
 
     fn from_frame(frame: Bytes) -> Result<Self> {
         match frame.first() {
             Some(&KIND_BODY) => {
-                from_data(&frame).map(|(attempt, _, text)| ToAgent::Body(attempt, text))
+                from_data(&frame).map(|(attempt, _, payload)| ToAgent::Body(attempt, payload))
             }
             _ => from_control(&frame),
         }
@@ -410,7 +411,7 @@
             ToEntry::Chunk { attempt, offset, text } => {
                 to_data(KIND_CHUNK, *attempt, *offset, text)
             }
-            other => to_control(other),
+            control => to_control(control),
         }
     }
 
@@ -425,44 +426,48 @@
     }
 }
 
+/// Encodes a control frame.
 pub(crate) fn to_control<T: Serialize>(message: &T) -> Bytes {
     let mut frame = BytesMut::with_capacity(256).writer();
     let _ = std::io::Write::write_all(&mut frame, &[KIND_CONTROL]);
-    // Writing to memory can not fail, and every message type is serializable.
+    // Writes to memory can not fail, and every message type is serializable.
     let _ = ciborium::into_writer(message, &mut frame);
     frame.into_inner().freeze()
 }
 
+/// Decodes a control frame.
 pub(crate) fn from_control<T: DeserializeOwned>(frame: &[u8]) -> Result<T> {
     match frame.split_first() {
-        Some((&KIND_CONTROL, rest)) => {
-            ciborium::from_reader(rest).map_err(|_| bad_frame("not a known message"))
+        Some((&KIND_CONTROL, body)) => {
+            ciborium::from_reader(body).map_err(|_| bad_frame("unknown message"))
         }
         Some(_) => Err(bad_frame("unknown kind")),
         None => Err(bad_frame("empty")),
     }
 }
 
-fn to_data(kind: u8, attempt: AttemptKey, offset: u64, text: &Bytes) -> Bytes {
-    let mut frame = BytesMut::with_capacity(HEAD + text.len());
+/// Encodes a data frame.
+fn to_data(kind: u8, attempt: AttemptKey, offset: u64, payload: &Bytes) -> Bytes {
+    let mut frame = BytesMut::with_capacity(HEADER_LEN + payload.len());
     frame.put_u8(kind);
     frame.put_u64(attempt.0);
     frame.put_u16(attempt.1);
     frame.put_u64(offset);
-    frame.put_slice(text);
+    frame.put_slice(payload);
     frame.freeze()
 }
 
+/// Decodes a data frame to its attempt, offset and payload.
 fn from_data(frame: &Bytes) -> Result<(AttemptKey, u64, Bytes)> {
-    let Some((head, _)) = frame.split_first_chunk::<HEAD>() else {
-        return Err(bad_frame("short head"));
+    let Some((header, _)) = frame.split_first_chunk::<HEADER_LEN>() else {
+        return Err(bad_frame("header cut short"));
     };
-    let mut head = &head[1..];
-    let key = AttemptKey(head.get_u64(), head.get_u16());
-    Ok((key, head.get_u64(), frame.slice(HEAD..)))
+    let mut header = &header[1..];
+    let key = AttemptKey(header.get_u64(), header.get_u16());
+    Ok((key, header.get_u64(), frame.slice(HEADER_LEN..)))
 }
 
 #[cold]
-fn bad_frame(text: &'static str) -> Error {
-    Error::from_code(ErrorCode::Frame(text))
+fn bad_frame(reason: &'static str) -> Error {
+    Error::from_code(ErrorCode::Frame(reason))
 }
