--- a/src/account_gate.rs
+++ b/src/account_gate.rs
@@ -1,9 +1,10 @@
-//! What a client account may have beside the shares of the entries: one agent gives it.
+//! Quota of a client account beyond the shares of the entries, granted by one agent per account.
 //!
-//! The load that it answers: hundreds of entries, each of which has let in nothing of an
-//! account for a while, get its requests at the same moment. A limit that is divided by the
-//! entries and rounded up lets in one at each. So an entry lets in its whole share only, and
-//! asks the agent that all entries choose alike by the account for what is left.
+//! This guards against a burst: hundreds of entries, none of which has admitted a request of an
+//! account for a while, receive its requests at the same moment. If the limit were divided by
+//! the number of entries and rounded up, each of them would admit one. Therefore an entry admits
+//! only whole requests of its share, and queries an agent for the remainder. All entries derive
+//! the same agent from the account.
 
 use std::collections::HashMap;
 use std::hash::Hash;
@@ -14,23 +15,23 @@
 
 use crate::time::Tick;
 
-/// Seconds of its rate that an account may save up.
+/// Maximum burst of an account, in seconds of its rate.
 const BURST_SECONDS: f64 = 1.0;
 
-/// Time after the start of an agent within which it gives nothing: entries tell it meanwhile
-/// what its former life gave.
-const START_REST: Duration = Duration::from_secs(1);
+/// Time after the start of an agent in which it admits nothing, because entries first report
+/// the requests that its previous incarnation admitted.
+const STARTUP_DELAY: Duration = Duration::from_secs(1);
 
-/// Time after which an account that has too many requests in flight may come again.
+/// Retry delay for an account that has too many requests in flight.
 const IN_FLIGHT_RETRY: Duration = Duration::from_secs(1);
 
-/// Most accounts that one agent counts.
-const MOST_ACCOUNTS: usize = 4_096;
+/// Maximum number of accounts that one agent tracks.
+const MAX_ACCOUNTS: usize = 4_096;
 
-/// What an account may have over all entries, or at one.
+/// Share of a client account's limits, for all entries together or for one.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AccountShare {
-    /// Requests a second.
+    /// Requests per second.
     #[serde(rename = "r")]
     pub per_second: f64,
     /// Requests in flight.
@@ -39,38 +40,40 @@
 }
 
 impl AccountShare {
-    /// Returns true where it lets nothing in.
+    /// Returns `true` if the share admits no request.
     #[must_use]
     pub fn is_empty(self) -> bool {
         self.per_second <= 0.0 || self.concurrent == 0
     }
 }
 
-/// What has been let in of a share.
+/// Token bucket that tracks the used part of a share.
 #[derive(Debug)]
 pub struct ShareUsage {
+    /// Requests that may be admitted now.
     credit: f64,
-    filled: Tick,
+    refilled_at: Tick,
 }
 
 impl ShareUsage {
-    /// A usage of which nothing is known before `known_since`.
+    /// Creates an empty bucket that fills up from `known_since` on: earlier admissions are
+    /// unknown.
     #[must_use]
     pub fn new(known_since: Tick) -> Self {
-        ShareUsage { credit: 0.0, filled: known_since }
+        ShareUsage { credit: 0.0, refilled_at: known_since }
     }
 
-    /// A usage of which nothing was let in for long.
+    /// Creates a full bucket, for a share of which nothing was admitted recently.
     #[must_use]
     pub fn full() -> Self {
-        ShareUsage { credit: f64::INFINITY, filled: Tick::default() }
+        ShareUsage { credit: f64::INFINITY, refilled_at: Tick::default() }
     }
 
-    /// Lets a request in, where `in_flight` others are.
+    /// Admits a request while `in_flight` others are in flight.
     ///
     /// # Errors
     ///
-    /// The time after which there is room again.
+    /// The share is used up. The error is the time after which to try again.
     pub fn admit(
         &mut self,
         share: AccountShare,
@@ -78,9 +81,9 @@
         now: Tick,
     ) -> Result<(), Duration> {
         let burst = (share.per_second * BURST_SECONDS).max(1.0);
-        let earned = now.since(self.filled).as_secs_f64() * share.per_second;
+        let earned = now.since(self.refilled_at).as_secs_f64() * share.per_second;
         self.credit = (self.credit + earned).min(burst);
-        self.filled = now;
+        self.refilled_at = now;
         if self.credit < 1.0 {
             let wait = Duration::try_from_secs_f64((1.0 - self.credit) / share.per_second);
             return Err(wait.unwrap_or(IN_FLIGHT_RETRY));
@@ -93,17 +96,18 @@
     }
 }
 
+/// State of one client account.
 #[derive(Debug)]
-struct GateAccount {
+struct AccountState {
     usage: ShareUsage,
     in_flight: u64,
 }
 
-/// What an agent gives of the limits of client accounts. `H` names a request.
+/// Quotas that an agent grants to client accounts. `H` identifies a request.
 #[derive(Debug)]
 pub struct AccountGate<H> {
-    accounts: HashMap<Arc<str>, GateAccount>,
-    /// The accounts of the requests that it let in.
+    accounts: HashMap<Arc<str>, AccountState>,
+    /// Admitted requests, with their accounts.
     holders: HashMap<H, Arc<str>>,
     started_at: Option<Tick>,
 }
@@ -115,73 +119,78 @@
 }
 
 impl<H: Copy + Eq + Hash> AccountGate<H> {
-    /// Lets a request of an account in, of what is left to it beside the entries' shares.
+    /// Admits a request of an account, out of the remainder that the shares of the entries
+    /// leave over.
     ///
     /// # Errors
     ///
-    /// The time after which there may be room.
+    /// The request is not admitted. The error is the time after which to ask again.
     pub fn ask(
         &mut self,
         account: &Arc<str>,
-        rest: AccountShare,
+        remainder: AccountShare,
         holder: H,
         now: Tick,
     ) -> Result<(), Duration> {
-        let open_at = self.open_at(now);
-        if now < open_at {
-            return Err(open_at.since(now));
+        let admits_from = self.admits_from(now);
+        if now < admits_from {
+            return Err(admits_from.since(now));
         }
-        let Some(known) = self.account(account, open_at) else { return Err(IN_FLIGHT_RETRY) };
-        known.usage.admit(rest, known.in_flight, now)?;
-        self.hold(account, holder);
+        let Some(state) = self.account_mut(account, admits_from) else {
+            return Err(IN_FLIGHT_RETRY);
+        };
+        state.usage.admit(remainder, state.in_flight, now)?;
+        self.add_holder(account, holder);
         Ok(())
     }
 
-    /// Notes a request that a former life of this agent let in.
+    /// Records a request that an earlier incarnation of this agent admitted.
     pub fn note_held(&mut self, account: &Arc<str>, holder: H, now: Tick) {
-        let open_at = self.open_at(now);
-        if self.account(account, open_at).is_some() {
-            self.hold(account, holder);
+        let admits_from = self.admits_from(now);
+        if self.account_mut(account, admits_from).is_some() {
+            self.add_holder(account, holder);
         }
     }
 
-    /// Notes that a request has ended, or that its entry is gone.
+    /// Releases a request that has ended, or whose entry is disconnected.
     pub fn release(&mut self, holder: &H) {
         let account = self.holders.remove(holder);
-        let known = account.and_then(|account| self.accounts.get_mut(&account));
-        if let Some(known) = known {
-            known.in_flight -= 1;
+        let state = account.and_then(|account| self.accounts.get_mut(&account));
+        if let Some(state) = state {
+            state.in_flight -= 1;
         }
     }
 
-    /// Forgets all requests but those of entries that are there.
-    pub fn retain(&mut self, is_there: impl Fn(&H) -> bool) {
-        let gone: Vec<H> =
-            self.holders.keys().filter(|holder| !is_there(holder)).copied().collect();
-        for holder in gone {
+    /// Releases all requests for which `is_connected` returns `false`.
+    pub fn retain(&mut self, is_connected: impl Fn(&H) -> bool) {
+        let disconnected: Vec<H> =
+            self.holders.keys().filter(|holder| !is_connected(holder)).copied().collect();
+        for holder in disconnected {
             self.release(&holder);
         }
     }
 
-    /// When it begins to let requests in.
-    fn open_at(&mut self, now: Tick) -> Tick {
-        *self.started_at.get_or_insert(now) + START_REST
+    /// Returns the time from which requests are admitted.
+    fn admits_from(&mut self, now: Tick) -> Tick {
+        *self.started_at.get_or_insert(now) + STARTUP_DELAY
     }
 
-    fn hold(&mut self, account: &Arc<str>, holder: H) {
-        let known = self.accounts.get_mut(account);
-        if let Some(known) = known
+    /// Counts a request as in flight, unless it is counted already.
+    fn add_holder(&mut self, account: &Arc<str>, holder: H) {
+        let state = self.accounts.get_mut(account);
+        if let Some(state) = state
             && self.holders.insert(holder, account.clone()).is_none()
         {
-            known.in_flight += 1;
+            state.in_flight += 1;
         }
     }
 
-    fn account(&mut self, account: &Arc<str>, known_since: Tick) -> Option<&mut GateAccount> {
-        if self.accounts.len() >= MOST_ACCOUNTS && !self.accounts.contains_key(account) {
+    /// Returns the state of an account, or `None` if too many accounts are tracked.
+    fn account_mut(&mut self, account: &Arc<str>, known_since: Tick) -> Option<&mut AccountState> {
+        if self.accounts.len() >= MAX_ACCOUNTS && !self.accounts.contains_key(account) {
             return None;
         }
-        let fresh = || GateAccount { usage: ShareUsage::new(known_since), in_flight: 0 };
+        let fresh = || AccountState { usage: ShareUsage::new(known_since), in_flight: 0 };
         Some(self.accounts.entry(account.clone()).or_insert_with(fresh))
     }
 }
--- a/src/claim_store.rs
+++ b/src/claim_store.rs
@@ -203,7 +203,7 @@
         self.unwritten_releases.truncate(MAX_BATCH);
     }
 
-    /// Appends the records that change the log behind all segments of other writers.
+    /// Appends the records that change the log, after all segments of other writers.
     async fn write(&mut self, records: &[ClaimRecord]) -> Result<()> {
         self.load().await?;
         let is_rewrite = self.is_rewrite(records);
@@ -211,7 +211,7 @@
             self.catch_up().await?;
         }
         loop {
-            let awaits_rewrites = self.rewrite_end.is_some_and(|until| Instant::now() < until);
+            let awaits_rewrites = self.rewrite_end.is_some_and(|end| Instant::now() < end);
             let Some(log) = &mut self.log else {
                 return Err(Error::unreachable("claim log not loaded"));
             };
@@ -286,8 +286,8 @@
                 "store restored from a copy while a claim log was read",
             ));
         }
-        if let Some(former) = &self.log {
-            self.lost.extend(former.missing_in(&log));
+        if let Some(previous) = &self.log {
+            self.lost.extend(previous.missing_in(&log));
         }
         self.log = Some(log);
         self.log_epoch = epoch;
@@ -303,7 +303,7 @@
     /// were lost could be granted or the records contain a release.
     fn is_rewrite(&self, records: &[ClaimRecord]) -> bool {
         let now = Instant::now();
-        let awaits_rewrites = self.rewrite_end.is_some_and(|until| now < until);
+        let awaits_rewrites = self.rewrite_end.is_some_and(|end| now < end);
         let is_due = self.rewrite_at.is_none_or(|at| now >= at);
         is_due || !awaits_rewrites || records.iter().any(|record| record.is_release)
     }
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,4 +1,4 @@
-//! The real clocks behind the cores' time.
+//! System clocks that supply the time of the cores.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -7,17 +7,17 @@
 use crate::id::Incarnation;
 use crate::time::Tick;
 
-/// Longest sleep without a look at the clock: timers stand still while the host is
-/// suspended, and what is due then is due when it goes on.
-const LONGEST_SLEEP: Duration = Duration::from_millis(500);
+/// Maximum sleep before the clock is read again. Timers stop while the host is suspended, and
+/// deadlines that pass meanwhile have to fire when the host resumes.
+const MAX_SLEEP: Duration = Duration::from_millis(500);
 
-/// Least time between two looks that counts as a suspension.
-const LEAST_SUSPENSION: Duration = Duration::from_millis(100);
+/// Minimum suspended time between two checks that is reported as a suspension.
+const MIN_SUSPENSION: Duration = Duration::from_millis(100);
 
-/// Reads a clock: the time since a moment that stays the same while the host runs.
+/// Reads a clock: the time since an instant that stays fixed while the host runs.
 pub type ClockReader = fn() -> Duration;
 
-/// Monotonic time of a process, which counts the time for which its host was suspended.
+/// Monotonic clock of a process that includes the time for which its host was suspended.
 ///
 /// # Example
 ///
@@ -40,13 +40,13 @@
         ProcessClock::from_reader(boot_time)
     }
 
-    /// Starts a clock that goes by another one.
+    /// Starts a clock on top of another clock.
     #[must_use]
     pub fn from_reader(reader: ClockReader) -> Self {
         ProcessClock { reader, start: reader() }
     }
 
-    /// Time since the start.
+    /// Returns the time since the start.
     #[must_use]
     pub fn now(&self) -> Tick {
         Tick((self.reader)().saturating_sub(self.start).as_micros() as u64)
@@ -59,41 +59,44 @@
     }
 }
 
-/// Finds out that the host was suspended, by two clocks of which one stood still.
+/// Detects suspensions of the host by comparing a clock that counts them with one that does not.
 #[derive(Debug)]
 pub struct SuspensionWatch {
-    all: ClockReader,
-    awake: ClockReader,
-    lead: Duration,
+    boot: ClockReader,
+    monotonic: ClockReader,
+    /// Lead of the boot clock at the last check.
+    suspended: Duration,
 }
 
 impl SuspensionWatch {
-    /// A watch from now on.
+    /// Creates a watch that starts now.
     #[must_use]
     pub fn new() -> Self {
-        SuspensionWatch::from_readers(boot_time, awake_time)
+        SuspensionWatch::from_readers(boot_time, monotonic_time)
     }
 
-    /// A watch of other clocks: one that counts all time, and one that stands still.
+    /// Creates a watch on other clocks: `boot` counts suspensions, `monotonic` does not.
     #[must_use]
-    pub fn from_readers(all: ClockReader, awake: ClockReader) -> Self {
-        let mut watch = SuspensionWatch { all, awake, lead: Duration::ZERO };
-        watch.lead = watch.read();
+    pub fn from_readers(boot: ClockReader, monotonic: ClockReader) -> Self {
+        let mut watch = SuspensionWatch { boot, monotonic, suspended: Duration::ZERO };
+        watch.suspended = watch.read();
         watch
     }
 
-    /// How long the host was suspended since the last look, none where it was not.
+    /// Returns how long the host was suspended since the last check; `None` if it was not.
     pub fn look(&mut self) -> Option<Duration> {
-        let lead = self.read();
-        let span = lead.saturating_sub(self.lead);
-        self.lead = lead;
-        (span >= LEAST_SUSPENSION).then_some(span)
+        let suspended = self.read();
+        let span = suspended.saturating_sub(self.suspended);
+        self.suspended = suspended;
+        (span >= MIN_SUSPENSION).then_some(span)
     }
 
+    /// Returns the lead of the boot clock over the monotonic clock.
     fn read(&self) -> Duration {
-        // A pause between the two readings makes the lead smaller, and is no suspension.
-        let all = (self.all)();
-        all.saturating_sub((self.awake)())
+        // The boot clock is read first: a pause between the two reads then makes the lead
+        // smaller and is not taken for a suspension.
+        let boot = (self.boot)();
+        boot.saturating_sub((self.monotonic)())
     }
 }
 
@@ -103,31 +106,32 @@
     }
 }
 
-/// Time since the host started, suspensions included.
+/// Returns the time since the host started, including suspensions.
 fn boot_time() -> Duration {
     read_clock(ClockId::CLOCK_BOOTTIME)
 }
 
-/// Time since the host started, without suspensions.
-fn awake_time() -> Duration {
+/// Returns the time since the host started, excluding suspensions.
+fn monotonic_time() -> Duration {
     read_clock(ClockId::CLOCK_MONOTONIC)
 }
 
 fn read_clock(clock: ClockId) -> Duration {
-    // Both clocks are there on every host that the programs run on.
+    // Both clocks exist on every supported host.
     clock_gettime(clock).map_or(Duration::ZERO, Duration::from)
 }
 
-/// Wall time in microseconds since 1970.
+/// Returns the wall time in microseconds since 1970.
 #[must_use]
 pub fn wall_micros() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    since.map_or(0, |span| span.as_micros() as u64)
+    let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
+    elapsed.map_or(0, |span| span.as_micros() as u64)
 }
 
-/// A number for this life of a process: later lives have higher ones while
-/// the host's clock does not step back, and random low bits keep two apart
-/// where it does.
+/// Returns a new incarnation for this process.
+///
+/// Incarnations increase from one start of a process to the next as long as the host's clock
+/// does not step back. Random low bits keep two incarnations apart if it does.
 #[must_use]
 pub fn new_incarnation() -> Incarnation {
     const RANDOM_BITS: u32 = 10;
@@ -135,7 +139,7 @@
     Incarnation((wall_micros() << RANDOM_BITS) | random)
 }
 
-/// Sleeps until a tick of `clock`, for ever where it never comes.
+/// Sleeps until `wake` on `clock`, forever if `wake` is [`Tick::NEVER`].
 pub async fn sleep_until(clock: &ProcessClock, wake: Tick) {
     if wake == Tick::NEVER {
         std::future::pending::<()>().await;
@@ -145,6 +149,6 @@
         if left.is_zero() {
             return;
         }
-        tokio::time::sleep(left.min(LONGEST_SLEEP)).await;
+        tokio::time::sleep(left.min(MAX_SLEEP)).await;
     }
 }
--- a/src/hex.rs
+++ b/src/hex.rs
@@ -1,8 +1,8 @@
-//! Hexadecimal digits of hashes.
+//! Hexadecimal encoding of hashes.
 
 use std::fmt::Write;
 
-/// Writes bytes as lowercase hexadecimal digits.
+/// Encodes bytes as lowercase hexadecimal digits.
 pub(crate) fn to_hex(bytes: &[u8]) -> String {
     bytes.iter().fold(String::with_capacity(bytes.len() * 2), |mut text, byte| {
         let _ = write!(text, "{byte:02x}");
--- a/src/id.rs
+++ b/src/id.rs
@@ -1,4 +1,4 @@
-//! Names of processes, requests and attempts.
+//! Identifiers of processes, requests and attempts.
 
 use std::str::FromStr;
 use std::sync::Arc;
@@ -6,30 +6,30 @@
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// One life of a process: a process that starts again has another one.
+/// Number of one run of a process. A restarted process has another incarnation.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 #[display("{_0:x}")]
 pub struct Incarnation(pub u64);
 
-/// A process in one of its lives.
+/// Id of one incarnation of a process.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[display("{name}.{incarnation}")]
 pub struct ProcessId {
     /// Name from the settings, unique in the fleet.
     pub name: Arc<str>,
-    /// The life of the process.
+    /// Incarnation of the process.
     pub incarnation: Incarnation,
 }
 
-/// A caller's request, named by the entry that took it.
+/// Id of a caller's request, assigned by the entry that received it.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[display("{owner}.{number}")]
 pub struct RequestId {
-    /// The entry that holds the request.
+    /// The entry that handles the request.
     pub owner: ProcessId,
-    /// Counts the requests of that entry's life.
+    /// Number of the request, counted per incarnation of the entry.
     pub number: u64,
 }
 
@@ -46,26 +46,26 @@
     }
 }
 
-/// A text that names no request.
+/// The error for a text that is not a valid request id.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 #[display("a request id reads entry.incarnation.number")]
 pub struct ParseIdError;
 
 impl std::error::Error for ParseIdError {}
 
-/// Request number and attempt number, unique within one life of an entry.
+/// Request number and attempt number, unique within one incarnation of an entry.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 #[display("{_0}-{_1}")]
 pub struct AttemptKey(pub u64, pub u16);
 
-/// One attempt of a request, as an agent knows it.
+/// Id of one attempt of a request, unique across entries.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[display("{owner}.{key}")]
 pub struct AttemptId {
     /// The entry that made the attempt.
     pub owner: ProcessId,
-    /// Its key in that entry's life.
+    /// Key of the attempt within that incarnation of the entry.
     pub key: AttemptKey,
 }
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -35,15 +35,15 @@
 /// Time without a received frame after which a link with open attempts counts as dead.
 const DEAD_PEER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Time without traffic or open attempts after which the connecting side closes a link.
+/// Time without traffic after which the connecting side closes a link without open attempts.
 const LINK_IDLE_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// Capacity of a link's queue of control frames. A link whose queue is full counts as
-/// too slow.
+/// Capacity of a link's queue of control frames. A link whose queue is full is too slow and
+/// is closed.
 pub(crate) const CONTROL_QUEUE: usize = 16_384;
 
-/// Capacity of a link's queue of body frames. A link whose queue is full counts as
-/// too slow.
+/// Capacity of a link's queue of body frames. A link whose queue is full is too slow and
+/// is closed.
 pub(crate) const BODY_QUEUE: usize = 512;
 
 type Socket = WebSocketStream<TcpStream>;
@@ -321,7 +321,7 @@
     mut socket: Socket,
     mut queue: LinkQueue,
     side: LinkSide,
-    open_work: &std::cell::RefCell<OpenWork>,
+    open_attempts: &std::cell::RefCell<OpenWork>,
     mut on_message: impl FnMut(In),
 ) -> LinkEnd {
     let mut last_received = Instant::now();
@@ -352,7 +352,7 @@
                     Message::Binary(frame) => {
                         last_used = last_received;
                         let Ok(message) = In::from_frame(frame) else { return LinkEnd::BadFrame };
-                        open_work.borrow_mut().note(&message);
+                        open_attempts.borrow_mut().note(&message);
                         on_message(message);
                     }
                     Message::Ping(_) | Message::Pong(_) => {}
@@ -366,11 +366,11 @@
                 }
             }
             _ = ping_timer.tick(), if side == LinkSide::Connecting => {
-                let has_work = !open_work.borrow().is_empty();
-                if !has_work && last_used.elapsed() > LINK_IDLE_TIMEOUT {
+                let has_open_attempts = !open_attempts.borrow().is_empty();
+                if !has_open_attempts && last_used.elapsed() > LINK_IDLE_TIMEOUT {
                     break;
                 }
-                if !has_work {
+                if !has_open_attempts {
                     last_received = Instant::now();
                     continue;
                 }
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,4 +1,4 @@
-//! Time as the cores see it, and the timer service.
+//! Time in the cores, and the timer service.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -7,17 +7,17 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Microseconds since the process started, or since a run in virtual time did.
+/// Microseconds since the start of the process, or since the start of a run in virtual time.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct Tick(pub u64);
 
 impl Tick {
-    /// A time that never comes.
+    /// A time that is never reached.
     pub const NEVER: Tick = Tick(u64::MAX);
 
-    /// Time from `earlier` to this, zero where `earlier` is later.
+    /// Returns the time from `earlier` to `self`, zero if `earlier` is later.
     #[must_use]
     pub fn since(self, earlier: Tick) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
@@ -40,34 +40,34 @@
     }
 }
 
-/// Wakes subscribers at the times they asked for.
+/// Queue of timers, ordered by their time.
 ///
-/// A subscription is a plain value. It can not be withdrawn: a subscriber
-/// checks on waking whether the value still means anything to it.
+/// A subscription is a plain value and can not be cancelled: when it is due, the
+/// subscriber checks whether the value is still relevant.
 #[derive(Debug)]
 pub struct TimerService<K> {
     heap: BinaryHeap<Reverse<(Tick, K)>>,
 }
 
 impl<K: Ord> TimerService<K> {
-    /// Makes a service without subscriptions.
+    /// Creates a service without subscriptions.
     #[must_use]
     pub fn new() -> Self {
         TimerService { heap: BinaryHeap::new() }
     }
 
-    /// Asks to be woken with `key` at `at`.
+    /// Adds a subscription that returns `key` at `at`.
     pub fn subscribe(&mut self, at: Tick, key: K) {
         self.heap.push(Reverse((at, key)));
     }
 
-    /// The next time at which somebody wants to be woken.
+    /// Returns the time of the earliest subscription.
     #[must_use]
     pub fn peek_next(&self) -> Option<Tick> {
         self.heap.peek().map(|Reverse((at, _))| *at)
     }
 
-    /// Takes one subscription that is due at `now`.
+    /// Removes and returns one subscription that is due at `now`.
     pub fn pop_due(&mut self, now: Tick) -> Option<K> {
         if self.peek_next()? > now {
             return None;
--- a/src/timeline.rs
+++ b/src/timeline.rs
@@ -1,4 +1,4 @@
-//! The time line: what happened where, in an order that holds over processes.
+//! The timeline: a process's recent events, ordered across processes by a hybrid clock.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -7,20 +7,20 @@
 
 use crate::id::ProcessId;
 
-/// A reading of the hybrid clock: wall time in microseconds, then a count.
+/// Timestamp of a hybrid clock: wall time in microseconds since 1970, then a counter.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct HybridTime(pub u64, pub u32);
 
-/// Clock that never runs backwards and follows what it hears from peers.
+/// Hybrid logical clock: it never runs backwards and follows the timestamps of peers.
 #[derive(Debug, Default)]
 pub struct HybridClock {
     last: HybridTime,
 }
 
 impl HybridClock {
-    /// Reads the clock, given the wall time in microseconds.
+    /// Returns the next timestamp, given the wall time in microseconds since 1970.
     pub fn read(&mut self, wall: u64) -> HybridTime {
         self.last = if wall > self.last.0 {
             HybridTime(wall, 0)
@@ -30,29 +30,29 @@
         self.last
     }
 
-    /// Notes a peer's reading, so that later readings here order after it.
+    /// Observes a peer's timestamp, so that later timestamps of this clock follow it.
     pub fn observe(&mut self, peer: HybridTime) {
         self.last = self.last.max(peer);
     }
 }
 
-/// One line of the time line.
+/// One event of the timeline.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct EventRecord {
-    /// When, ordered over processes.
+    /// Time of the event, comparable across processes.
     pub at: HybridTime,
-    /// Who saw it.
+    /// Name of the process that recorded the event.
     pub process: Arc<str>,
-    /// The request it concerns, empty where it concerns none.
+    /// The request that the event concerns, empty if there is none.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub request: String,
-    /// What kind of event, in a few fixed words.
+    /// Kind of the event, one of a fixed set of texts.
     pub kind: Arc<str>,
-    /// Figures and names, for a reader.
+    /// Human-readable figures and names.
     pub detail: String,
 }
 
-/// Ring of the newest events of one process.
+/// Ring buffer of the newest events of one process.
 #[derive(Debug)]
 pub struct TimeLine {
     process: ProcessId,
@@ -63,7 +63,7 @@
 }
 
 impl TimeLine {
-    /// Makes an empty ring of `capacity` events.
+    /// Creates an empty ring buffer for `capacity` events.
     #[must_use]
     pub fn new(process: ProcessId, capacity: usize) -> Self {
         TimeLine {
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Appends an event and forgets the oldest where the ring is full.
+    /// Appends an event, and drops the oldest one if the ring buffer is full.
     pub fn push(&mut self, wall: u64, request: String, kind: &'static str, detail: String) {
         if self.records.len() == self.capacity {
             self.records.pop_front();
@@ -91,22 +91,22 @@
         self.records.push_back(record);
     }
 
-    /// Notes a peer's clock.
+    /// Observes a peer's timestamp.
     pub fn observe(&mut self, peer: HybridTime) {
         self.clock.observe(peer);
     }
 
-    /// Reads the clock for a message to a peer.
+    /// Returns a timestamp for a message to a peer.
     pub fn read_clock(&mut self, wall: u64) -> HybridTime {
         self.clock.read(wall)
     }
 
-    /// The kept events that concern `request`, or all where it is empty.
+    /// Returns the stored events that concern `request`, or all events if it is empty.
     pub fn select<'a>(&'a self, request: &'a str) -> impl Iterator<Item = &'a EventRecord> {
         self.records.iter().filter(move |record| request.is_empty() || record.request == request)
     }
 
-    /// How many events the ring has forgotten.
+    /// Returns the number of events that were dropped because the ring buffer was full.
     #[must_use]
     pub fn dropped(&self) -> u64 {
         self.dropped
--- a/src/verdict.rs
+++ b/src/verdict.rs
@@ -1,19 +1,19 @@
-//! Whether a request may have run.
+//! Verdicts on whether a request may have run.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// What is known of a request that did not end with a whole answer.
+/// What is known about the execution of a request that did not get a complete answer.
 ///
-/// Every layer states its failures with a verdict, and a layer may repeat a
-/// request only where [`Verdict::may_retry`] allows it.
+/// Every layer reports its failures with a verdict, and a layer may retry a
+/// request only if [`Verdict::may_retry`] allows it.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
-    /// The target did not see the request, and never will.
+    /// The target did not receive the request and never will.
     #[display("not-run")]
     NotRun,
-    /// Nobody can tell whether the target ran the request.
+    /// It is unknown whether the target ran the request.
     #[display("may-have-run")]
     MayHaveRun,
     /// The target ran the request.
@@ -22,14 +22,14 @@
 }
 
 impl Verdict {
-    /// Returns true where another attempt can not make a request run twice
-    /// against its owner's will.
+    /// Returns `true` if another attempt is safe: the request has not run, or it is
+    /// declared `repeatable` and may run twice.
     #[must_use]
     pub fn may_retry(self, repeatable: bool) -> bool {
         repeatable || self == Verdict::NotRun
     }
 
-    /// Joins the verdicts of two attempts of one request.
+    /// Combines the verdicts of two attempts of one request.
     #[must_use]
     pub fn join(self, other: Verdict) -> Verdict {
         self.max(other)
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -150,6 +150,7 @@
     /// Tokens that the request needs.
     pub need: TokenNeed,
     /// Hashes of the prompt's prefixes.
+    #[serde(rename = "marks")]
     pub marks: PrefixMarks,
     /// Length of the body that follows, in bytes.
     pub body_len: u64,
--- a/tests/account_gate.rs
+++ b/tests/account_gate.rs
@@ -1,4 +1,4 @@
-//! An entry asks the agent of a client account for what is beside its own share.
+//! An entry queries the agent of a client account about requests beyond its own share.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -12,10 +12,11 @@
 use shalelane::wire::{AccountAsk, Call, ToAgent, ToEntry};
 use shalelane::{Incarnation, ProcessId};
 
+/// Time of the test's events.
 const START: Tick = Tick(60_000_000);
 
-/// One of 402 entries, with an account whose limits leave it no share.
-struct GateWorld {
+/// One of 402 entries, with an account whose limits are too small to give each entry a share.
+struct QuotaWorld {
     core: EntryCore,
     policy: Rc<AccountPolicy>,
 }
@@ -25,7 +26,7 @@
     HostRecord { name: name.into(), role, address, failure_domain, state: HostState::Live }
 }
 
-impl GateWorld {
+impl QuotaWorld {
     fn new() -> Self {
         let process = ProcessId { name: "entry-0".into(), incarnation: Incarnation(1) };
         let mut core = EntryCore::new(process, "here".into(), EntryTuning::default(), 1);
@@ -39,7 +40,7 @@
         let hosts = engines.chain(entries).collect();
         core.on_event(START, Event::Hosts(HostDelta { revision: 1, hosts }));
         core.on_event(START, Event::Config(config));
-        GateWorld { core, policy }
+        QuotaWorld { core, policy }
     }
 
     fn arrive(&mut self, number: u64, now: Tick) -> Vec<Effect> {
@@ -63,15 +64,16 @@
     }
 }
 
-/// The agent that is asked, and the question.
-fn ask_of(effects: &[Effect]) -> (Arc<str>, AccountAsk) {
-    let asked = effects.iter().find_map(|effect| match effect {
-        Effect::Send(agent, ToAgent::AskAccount(ask)) => Some((agent.clone(), ask.clone())),
+/// Returns the queried agent and the query.
+fn query_of(effects: &[Effect]) -> (Arc<str>, AccountAsk) {
+    let query = effects.iter().find_map(|effect| match effect {
+        Effect::Send(agent, ToAgent::AskAccount(query)) => Some((agent.clone(), query.clone())),
         _ => None,
     });
-    asked.expect("a question")
+    query.expect("an account query")
 }
 
+/// Returns the numbers of the requests that are released at agents.
 fn released(effects: &[Effect]) -> Vec<u64> {
     let numbers = effects.iter().filter_map(|effect| match effect {
         Effect::Send(_, ToAgent::ReleaseAccount(number)) => Some(*number),
@@ -80,6 +82,7 @@
     numbers.collect()
 }
 
+/// Returns `true` if a caller is refused with a time for its retry.
 fn is_refused(effects: &[Effect]) -> bool {
     effects.iter().any(|effect| {
         matches!(effect, Effect::Reply(_, Reply::Failed(failure))
@@ -88,53 +91,57 @@
 }
 
 #[test]
-fn a_request_without_a_share_waits_for_the_accounts_agent() {
-    let mut world = GateWorld::new();
-    let (agent, ask) = ask_of(&world.arrive(1, START));
-    assert_eq!((ask.rest.per_second, ask.rest.concurrent, ask.is_held), (2.0, 4, false));
-    let (other, _) = ask_of(&world.arrive(2, START));
-    assert_eq!(agent, other, "one agent for the account");
+fn a_request_beyond_the_share_waits_for_the_accounts_agent() {
+    let mut world = QuotaWorld::new();
+    let (agent, query) = query_of(&world.arrive(1, START));
+    assert_eq!((query.rest.per_second, query.rest.concurrent, query.is_held), (2.0, 4, false));
+    let (other, _) = query_of(&world.arrive(2, START));
+    assert_eq!(agent, other, "both queries must go to one agent");
     let effects = world.answer(&agent, 1, None);
-    let is_begun = effects.iter().any(|effect| matches!(effect, Effect::Send(..)));
-    assert!(is_begun, "it is let in: {effects:?}");
+    let is_started = effects.iter().any(|effect| matches!(effect, Effect::Send(..)));
+    assert!(is_started, "the admitted request did not start: {effects:?}");
     assert!(is_refused(&world.answer(&agent, 2, Some(700_000))));
     assert_eq!(world.core.open_requests(), 1);
 }
 
 #[test]
-fn a_request_that_ends_is_given_back() {
-    let mut world = GateWorld::new();
-    let (agent, _) = ask_of(&world.arrive(1, START));
+fn a_request_that_ends_is_released_at_the_agent() {
+    let mut world = QuotaWorld::new();
+    let (agent, _) = query_of(&world.arrive(1, START));
     world.answer(&agent, 1, None);
     let effects = world.core.on_event(START, Event::CallerGone(1));
     assert_eq!(released(&effects), [1]);
 }
 
 #[test]
-fn a_caller_that_leaves_while_the_agent_is_asked_holds_nothing() {
-    let mut world = GateWorld::new();
-    let (agent, _) = ask_of(&world.arrive(1, START));
+fn a_caller_that_disconnects_during_the_query_leaves_no_admission() {
+    let mut world = QuotaWorld::new();
+    let (agent, _) = query_of(&world.arrive(1, START));
     assert_eq!(released(&world.core.on_event(START, Event::CallerGone(1))), [1]);
-    assert_eq!(released(&world.answer(&agent, 1, None)), [1], "an answer that was on its way");
+    assert_eq!(
+        released(&world.answer(&agent, 1, None)),
+        [1],
+        "an answer that was in flight must be released"
+    );
     assert_eq!(world.core.open_requests(), 0);
 }
 
 #[test]
-fn where_the_agent_does_not_answer_the_caller_is_refused() {
-    let mut world = GateWorld::new();
+fn a_caller_is_refused_if_the_agent_does_not_answer() {
+    let mut world = QuotaWorld::new();
     world.arrive(1, START);
     let late = world.core.on_event(START + Duration::from_millis(500), Event::Wake);
     assert!(is_refused(&late));
-    let (agent, _) = ask_of(&world.arrive(2, START));
+    let (agent, _) = query_of(&world.arrive(2, START));
     assert!(is_refused(&world.core.on_event(START, Event::AgentDown(agent))));
 }
 
 #[test]
-fn an_agent_that_starts_again_is_told_what_its_former_life_let_in() {
-    let mut world = GateWorld::new();
-    let (agent, _) = ask_of(&world.arrive(1, START));
+fn a_restarted_agent_receives_the_admissions_of_its_previous_incarnation() {
+    let mut world = QuotaWorld::new();
+    let (agent, _) = query_of(&world.arrive(1, START));
     world.answer(&agent, 1, None);
     let effects = world.core.on_event(START, Event::AgentUp(agent.clone(), Incarnation(2)));
-    let (told, ask) = ask_of(&effects);
-    assert_eq!((told, ask.number, ask.is_held), (agent, 1, true));
+    let (receiver, query) = query_of(&effects);
+    assert_eq!((receiver, query.number, query.is_held), (agent, 1, true));
 }
--- a/tests/claims.rs
+++ b/tests/claims.rs
@@ -1,4 +1,4 @@
-//! Claims on callers' own keys: the log by itself.
+//! The log of claims on callers' idempotency keys, without a store.
 
 use shalelane::claim::{ClaimHead, ClaimKey, ClaimLog, ClaimRecord, ClaimSegment, RETENTION};
 
@@ -27,13 +27,13 @@
     assert_eq!(selected, [claim("a", "one"), claim("b", "two")]);
     log.push(&segment(10, selected));
     assert!(log.select(&[claim("a", "three")]).is_empty());
-    // Another writer's segment that claims it all the same changes nothing.
+    // A later claim in another writer's segment has no effect.
     log.push(&segment(11, vec![claim("a", "three")]));
     assert_eq!((owner(&log, "a"), log.next()), (Some("one"), 3));
 }
 
 #[test]
-fn only_its_owner_gives_a_key_back() {
+fn only_the_owner_releases_a_key() {
     let mut log = ClaimLog::new(ClaimHead::default());
     log.push(&segment(10, vec![claim("a", "one")]));
     assert!(log.select(&[release("a", "two")]).is_empty());
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn claims_are_forgotten_after_the_retention_and_the_head_moves() {
+fn claims_expire_after_the_retention_and_the_head_advances() {
     let mut log = ClaimLog::new(ClaimHead { first: 5, epoch: 0 });
     log.push(&segment(100, vec![claim("a", "one")]));
     log.push(&segment(200, vec![claim("b", "one")]));
--- a/tests/claims_rewrite.rs
+++ b/tests/claims_rewrite.rs
@@ -1,6 +1,8 @@
-//! After a return of the platform's store from an old copy each entry that had read a log of
-//! claims wrote all that it lacked, at once: the writes grew with the entries, of which the first
-//! of each log would have done, and the store's rate of writes was used up for callers' new claims.
+//! Guards against a burst of writes after the store is restored from an old copy.
+//!
+//! The fault: each entry that has read a log of claims rewrites all lost claims at once. One
+//! write per log would suffice, but the number of writes grows with the number of entries and
+//! uses up the store's write rate, so that callers' new claims can not be written.
 
 use std::time::Duration;
 
@@ -10,16 +12,16 @@
 use standins::store_server::{StoreFault, StoreServer};
 use tokio::task::LocalSet;
 
-/// Entries that have read the log.
+/// Number of entries that have read the log.
 const ENTRIES: usize = 60;
 
-/// Writes that the return of a log may take: a few entries look at the same moment.
+/// Maximum number of writes for one restored log: a few entries may check it at the same moment.
 const ALLOWED_WRITES: u64 = 12;
 
-/// Time for all entries to have looked.
-const SETTLED: Duration = Duration::from_secs(4);
+/// Time within which all entries have checked the log.
+const SETTLING_TIME: Duration = Duration::from_secs(4);
 
-/// An entry's view of the claims.
+/// The claim store of one entry, with its client.
 struct ClaimEntry {
     client: StoreClient,
     claims: ClaimStore,
@@ -47,12 +49,13 @@
     store.set_fault(StoreFault { delay: Duration::from_millis(5), ..StoreFault::default() });
     store.restore(copy);
     let before = store.counts();
-    // All hear of the return at the same moment, when their watches of the configuration end.
+    // All entries learn of the restore at the same moment, when their watches of the
+    // configuration end.
     for entry in &entries {
         let client = entry.client.clone();
         tokio::task::spawn_local(async move { client.get("config").await.expect("an answer") });
     }
-    tokio::time::sleep(SETTLED).await;
+    tokio::time::sleep(SETTLING_TIME).await;
     let after = store.counts();
     let writes = after.writes + after.limited - before.writes - before.limited;
     assert!(writes <= ALLOWED_WRITES, "{writes} writes of one claim by {ENTRIES} entries");
@@ -61,7 +64,7 @@
 }
 
 #[test]
-fn lost_claims_are_not_written_by_every_entry() {
+fn lost_claims_are_not_rewritten_by_every_entry() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new().block_on(&runtime, rewrite());
 }
--- a/tests/clock.rs
+++ b/tests/clock.rs
@@ -1,4 +1,4 @@
-//! The clock of a process, on a host that is suspended.
+//! The clock of a process on a host that is suspended.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -10,34 +10,35 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 thread_local! {
-    static ALL: Cell<Duration> = const { Cell::new(Duration::from_secs(1_000)) };
-    static AWAKE: Cell<Duration> = const { Cell::new(Duration::from_secs(700)) };
+    static BOOT: Cell<Duration> = const { Cell::new(Duration::from_secs(1_000)) };
+    static MONOTONIC: Cell<Duration> = const { Cell::new(Duration::from_secs(700)) };
 }
 
-fn all() -> Duration {
-    ALL.get()
+fn boot() -> Duration {
+    BOOT.get()
 }
 
-fn awake() -> Duration {
-    AWAKE.get()
+fn monotonic() -> Duration {
+    MONOTONIC.get()
 }
 
-/// The host runs for a time.
+/// Simulates a host that runs for `span`.
 fn run(span: Duration) {
-    ALL.set(ALL.get() + span);
-    AWAKE.set(AWAKE.get() + span);
+    BOOT.set(BOOT.get() + span);
+    MONOTONIC.set(MONOTONIC.get() + span);
 }
 
-/// The host is suspended for a time: timers and the steady clock stand still.
+/// Simulates a host that is suspended for `span`: timers and the monotonic clock stop.
 fn suspend(span: Duration) {
-    ALL.set(ALL.get() + span);
+    BOOT.set(BOOT.get() + span);
 }
 
-/// Past failure: the clock went by the steady one. After a suspension of seconds a process
-/// took its proof to be as old as it had been before, and let in who had no key any more.
+/// Guards against a process clock that follows the monotonic clock. After a suspension of some
+/// seconds such a process takes its proof of freshness to be as old as before the suspension,
+/// and admits callers whose keys have been revoked meanwhile.
 #[test]
-fn a_lease_lapses_while_the_host_is_suspended() {
-    let clock = ProcessClock::from_reader(all);
+fn a_lease_expires_while_the_host_is_suspended() {
+    let clock = ProcessClock::from_reader(boot);
     let mut lease = FreshnessLease::new(SECOND * 5, StalePolicy::FailClosed);
     lease.renew(clock.now());
     run(SECOND);
@@ -48,8 +49,8 @@
 }
 
 #[test]
-fn a_suspension_is_noticed_once() {
-    let mut watch = SuspensionWatch::from_readers(all, awake);
+fn a_suspension_is_reported_once() {
+    let mut watch = SuspensionWatch::from_readers(boot, monotonic);
     run(SECOND * 60);
     assert_eq!(watch.look(), None);
     suspend(SECOND * 3);
@@ -59,18 +60,19 @@
     assert_eq!(watch.look(), None);
 }
 
-/// The host's own count of the time since it started, suspensions included.
+/// Compares the clock with `/proc/uptime`, which includes suspensions.
 #[test]
-fn the_clock_goes_by_the_time_since_the_host_started() {
+fn the_clock_follows_the_uptime_of_the_host() {
     let uptime = || {
-        let text = std::fs::read_to_string("/proc/uptime").expect("the host's count");
+        let text = std::fs::read_to_string("/proc/uptime").expect("a readable /proc/uptime");
         let seconds: f64 = text.split(' ').next().unwrap().parse().unwrap();
         Duration::from_secs_f64(seconds)
     };
     let before = uptime();
     let clock = ProcessClock::new();
     std::thread::sleep(Duration::from_millis(300));
-    let (own, host) = (clock.now().since(Tick::default()), uptime().saturating_sub(before));
-    let apart = if own > host { own.saturating_sub(host) } else { host.saturating_sub(own) };
-    assert!(apart < SECOND * 5, "{own:?}, the host says {host:?}");
+    let (elapsed, host) = (clock.now().since(Tick::default()), uptime().saturating_sub(before));
+    let difference =
+        if elapsed > host { elapsed.saturating_sub(host) } else { host.saturating_sub(elapsed) };
+    assert!(difference < SECOND * 5, "clock: {elapsed:?}, uptime of the host: {host:?}");
 }
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -1,4 +1,4 @@
-//! Real processes behind a fault-injecting proxy.
+//! Entries and agents as real processes, with agents behind a fault-injecting proxy.
 
 mod support;
 
@@ -13,24 +13,26 @@
 use standins::store_server::StoreFault;
 use support::{Site, VALDIVIA, keyed_order, wait_until};
 
-/// An engine that takes its time over an answer, so that a fault finds it in
-/// the middle of one.
+/// Returns an engine that generates slowly, so that a fault strikes in the middle of an answer.
 fn slow_engine() -> EngineSpec {
     EngineSpec { step_base: Duration::from_millis(20), ..EngineSpec::default() }
 }
 
+/// Returns the whole answer that a simulated engine generates for a prompt.
 fn expected(prompt: &str, answer: u64) -> String {
     whole_answer(prompt_hash(prompt), answer)
 }
 
-/// Waits until so many calls have reached the plain service.
+/// Waits until `count` calls have reached the plain service.
 async fn wait_for_calls(site: &Site, count: u64) {
-    wait_until("a call arrives", async || site.plain.arrived.load(Ordering::Relaxed) >= count)
-        .await;
+    wait_until("a call reaches the plain service", async || {
+        site.plain.arrived.load(Ordering::Relaxed) >= count
+    })
+    .await;
 }
 
 #[tokio::test]
-async fn a_cut_link_is_joined_again_at_the_exact_place() {
+async fn an_answer_resumes_at_the_exact_offset_after_its_link_is_cut() {
     let site = Site::start(1, 1, slow_engine()).await;
     let prompt = make_prompt(200, 1, 0, 1);
     let mut stream =
@@ -42,24 +44,24 @@
     }
     let text = finish(stream).await.expect("the rest");
     assert!(text.is_done());
-    // The parts that were read one by one are not in `text`: its end must be
-    // the end of the whole answer.
+    // `text` lacks the parts that were read one by one, so it must be the end of the whole
+    // answer.
     let whole = expected(&prompt, 80);
-    assert!(whole.ends_with(&text.stream_text()), "not the rest of the right answer");
-    let metrics = call(site.callers(0), request("GET", "/metrics", "", "")).await.expect("page");
-    let page = String::from_utf8_lossy(&metrics.body).into_owned();
-    assert!(!page.contains("shalelane_entry_resumed_total 0"), "nothing was resumed");
+    assert!(whole.ends_with(&text.stream_text()), "the text is not the end of the expected answer");
+    let metrics = call(site.callers(0), request("GET", "/metrics", "", "")).await.expect("metrics");
+    let metrics = String::from_utf8_lossy(&metrics.body).into_owned();
+    assert!(!metrics.contains("shalelane_entry_resumed_total 0"), "no answer was resumed");
 }
 
 #[tokio::test]
-async fn an_agents_death_frees_the_engine_and_the_request_runs_elsewhere() {
+async fn a_crash_of_an_agent_frees_the_engine_and_the_request_runs_on_another() {
     let mut site = Site::start(1, 2, slow_engine()).await;
     let prompt = make_prompt(100_000, 1, 0, 2);
     let address = site.callers(0);
     let caller = tokio::spawn(call(address, completion("harbour-office", &prompt, 10)));
-    let held = async |site: &Site| site.engines.iter().position(|engine| engine.used() > 0);
-    wait_until("an engine works", async || held(&site).await.is_some()).await;
-    let busy = held(&site).await.expect("the busy one");
+    let busy_engine = async |site: &Site| site.engines.iter().position(|engine| engine.used() > 0);
+    wait_until("an engine is busy", async || busy_engine(&site).await.is_some()).await;
+    let busy = busy_engine(&site).await.expect("a busy engine");
     site.agents[busy].restart();
     let answer = caller.await.expect("task").expect("answer");
     assert_eq!(answer.status, 200);
@@ -68,7 +70,7 @@
 }
 
 #[tokio::test]
-async fn an_order_whose_agent_dies_is_never_run_again() {
+async fn an_order_whose_agent_crashes_is_never_run_again() {
     let mut site = Site::start(1, 1, EngineSpec::default()).await;
     let delay = Duration::from_millis(400);
     *site.plain.fault.lock().expect("fault") = PlainFault { delay, ..PlainFault::default() };
@@ -94,7 +96,7 @@
 #[tokio::test]
 async fn an_order_that_can_not_be_sent_was_not_run() {
     let mut site = Site::start(1, 1, EngineSpec::default()).await;
-    let _held = site.plain.refuse();
+    let _port = site.plain.refuse();
     let answer = call(site.callers(0), order("boat-9")).await.expect("answer");
     assert_eq!((answer.status, answer.verdict.as_str()), (503, "not-run"));
     assert!(!answer.retry_after.is_empty());
@@ -102,9 +104,9 @@
 }
 
 #[tokio::test]
-async fn a_link_that_goes_silent_delays_an_order_and_never_doubles_it() {
+async fn a_stalled_link_delays_an_order_and_never_runs_it_twice() {
     let site = Site::start(1, 1, EngineSpec::default()).await;
-    let stalls = ProxyFault { stalls_answers: true, ..ProxyFault::default() };
+    let stall = ProxyFault { stalls_answers: true, ..ProxyFault::default() };
     let first = call(site.callers(0), order("warm-up")).await.expect("answer");
     assert_eq!(first.status, 200);
     let address = site.callers(0);
@@ -112,7 +114,7 @@
     *site.plain.fault.lock().expect("fault") = PlainFault { delay, ..PlainFault::default() };
     let caller = tokio::spawn(call(address, order("boat-10")));
     wait_for_calls(&site, 2).await;
-    site.plain_agent.proxy.set_fault(stalls);
+    site.plain_agent.proxy.set_fault(stall);
     wait_until("the order has run", async || site.plain.times_run("boat-10") == 1).await;
     site.plain_agent.proxy.set_fault(ProxyFault::default());
     let answer = caller.await.expect("task").expect("answer");
@@ -121,7 +123,7 @@
 }
 
 #[tokio::test]
-async fn a_caller_that_goes_away_frees_the_engine() {
+async fn a_caller_that_disconnects_frees_the_engine() {
     let site = Site::start(1, 1, slow_engine()).await;
     let prompt = make_prompt(1_000, 1, 0, 3);
     let request = completion("pier-app", &prompt, 20_000);
@@ -133,15 +135,15 @@
 }
 
 #[tokio::test]
-async fn a_planned_stop_of_an_entry_cuts_nothing() {
+async fn a_planned_stop_of_an_entry_cuts_no_answer() {
     let mut site = Site::start(1, 1, slow_engine()).await;
     let prompt = make_prompt(200, 1, 0, 4);
     let mut stream =
         open(site.callers(0), completion("pier-app", &prompt, 60)).await.expect("head");
     next_part(&mut stream).await.expect("a first part");
-    site.entries[0].ask_stop();
+    site.entries[0].request_stop();
     let address = site.callers(0);
-    wait_until("the entry turns callers away", async || {
+    wait_until("the entry reports that it is not ready", async || {
         let probe = call(address, request("GET", "/readyz", "", "")).await;
         probe.map_or(true, |answer| answer.status == 503)
     })
@@ -149,19 +151,19 @@
     let rest = finish(stream).await.expect("the rest");
     assert!(rest.is_done());
     assert!(expected(&prompt, 60).ends_with(&rest.stream_text()));
-    assert!(site.entries[0].wait(), "the entry ended badly");
+    assert!(site.entries[0].wait(), "the entry exited with a failure");
 }
 
 #[tokio::test]
-async fn a_planned_stop_of_an_agent_cuts_nothing_and_takes_nothing_new() {
+async fn a_planned_stop_of_an_agent_cuts_no_answer_and_accepts_no_new_work() {
     let mut site = Site::start(1, 2, slow_engine()).await;
     let prompt = make_prompt(200, 1, 0, 5);
     let mut stream =
         open(site.callers(0), completion("pier-app", &prompt, 100)).await.expect("head");
     next_part(&mut stream).await.expect("a first part");
     let busy = site.engines.iter().position(|engine| engine.used() > 0).expect("a busy engine");
-    site.agents[busy].process.ask_stop();
-    // The platform's list still shows it as live.
+    site.agents[busy].process.request_stop();
+    // The platform's list still shows the target as live.
     for number in 0..6 {
         let prompt = make_prompt(100, 1, 0, 100 + number);
         let answer =
@@ -171,15 +173,15 @@
     let rest = finish(stream).await.expect("the rest");
     assert!(rest.is_done());
     assert!(expected(&prompt, 100).ends_with(&rest.stream_text()));
-    assert!(site.agents[busy].process.wait(), "the agent ended badly");
+    assert!(site.agents[busy].process.wait(), "the agent exited with a failure");
 }
 
 #[tokio::test]
-async fn an_engines_death_moves_the_request_and_its_return_is_noticed() {
+async fn a_request_moves_to_another_engine_if_its_engine_stops() {
     let mut site = Site::start(1, 2, slow_engine()).await;
     let prompt = make_prompt(100_000, 1, 0, 6);
     let caller = tokio::spawn(call(site.callers(0), completion("harbour-office", &prompt, 5)));
-    wait_until("an engine works", async || site.held_tokens() > 0).await;
+    wait_until("an engine is busy", async || site.held_tokens() > 0).await;
     let busy = site.engines.iter().position(|engine| engine.used() > 0).expect("a busy engine");
     site.engines[busy].server.stop();
     let answer = caller.await.expect("task").expect("answer");
@@ -187,7 +189,7 @@
 }
 
 #[tokio::test]
-async fn a_frozen_agent_holds_no_request_past_its_time_limit() {
+async fn a_frozen_agent_delays_no_request_past_its_time_limit() {
     let site = Site::start(1, 2, EngineSpec::default()).await;
     site.agents[0].process.freeze(true);
     for number in 0..8 {
@@ -200,7 +202,7 @@
 }
 
 #[tokio::test]
-async fn serving_goes_on_through_an_outage_of_the_store() {
+async fn serving_continues_through_an_outage_of_the_store() {
     let mut site = Site::start(1, 1, EngineSpec::default()).await;
     site.store.set_fault(StoreFault { outage: true, ..StoreFault::default() });
     let prompt = make_prompt(100, 1, 0, 7);
@@ -208,7 +210,7 @@
     assert_eq!(answer.stream_text(), expected(&prompt, 3));
     let refused = site.apply(VALDIVIA, 0).await;
     assert_eq!((refused.status, refused.code().as_str()), (503, "store_away"));
-    // An entry that starts now has no configuration and takes nobody.
+    // An entry that starts now has no configuration and refuses every request.
     site.add_entry(1);
     let answer = call(site.callers(1), completion("pier-app", &prompt, 3)).await.expect("answer");
     assert_eq!((answer.status, answer.verdict.as_str()), (503, "not-run"));
@@ -225,7 +227,7 @@
     let other = VALDIVIA.replace("weight = 3", "weight = 5");
     site.store.set_fault(StoreFault { lost_answers: 2, ..StoreFault::default() });
     let won = site.apply(&one, version).await;
-    // The first lost answer is that to the changed account's object.
+    // The first lost answer belongs to the write of the changed account's object.
     let won = if won.status == 200 { won } else { site.apply(&one, version).await };
     assert_eq!(won.status, 200, "{}", String::from_utf8_lossy(&won.body));
     let lost = site.apply(&other, version).await;
@@ -241,15 +243,15 @@
 }
 
 #[tokio::test]
-async fn why_is_answered_by_any_entry() {
+async fn any_entry_explains_a_decision() {
     let site = Site::start(2, 1, EngineSpec::default()).await;
     let answer =
         call(site.callers(0), completion("pier-app", "A question?", 2)).await.expect("answer");
     for index in 0..2 {
         let path = format!("/admin/v1/why/{}", answer.request_id);
-        let why = site.ask_admin(index, &path).await;
-        assert_eq!(why.status, 200, "{}", String::from_utf8_lossy(&why.body));
-        let steps = why.json()["steps"].as_array().cloned().unwrap_or_default();
+        let explanation = site.ask_admin(index, &path).await;
+        assert_eq!(explanation.status, 200, "{}", String::from_utf8_lossy(&explanation.body));
+        let steps = explanation.json()["steps"].as_array().cloned().unwrap_or_default();
         let kinds: Vec<_> = steps.iter().filter_map(|step| step["step"].as_str()).collect();
         assert_eq!(kinds, ["admitted", "asked", "offered", "chosen", "first", "ended"]);
     }
@@ -258,7 +260,7 @@
 }
 
 #[tokio::test]
-async fn a_key_runs_once_however_often_and_wherever_it_is_sent() {
+async fn a_key_runs_once_although_it_is_sent_repeatedly_to_several_entries() {
     let site = Site::start(2, 1, EngineSpec::default()).await;
     let (one, other) = (site.callers(0), site.callers(1));
     for round in 0..5 {
@@ -283,10 +285,10 @@
 #[tokio::test]
 async fn a_key_whose_request_was_not_run_is_free_again() {
     let mut site = Site::start(1, 1, EngineSpec::default()).await;
-    let held = site.plain.refuse();
+    let port = site.plain.refuse();
     let refused = call(site.callers(0), keyed_order("boat-1", "key")).await.expect("answer");
     assert_eq!((refused.status, refused.verdict.as_str()), (503, "not-run"));
-    site.plain.restart(held);
+    site.plain.restart(port);
     wait_until("the key is free", async || {
         let answer = call(site.callers(0), keyed_order("boat-1", "key")).await.expect("answer");
         answer.status == 200
@@ -311,18 +313,19 @@
 }
 
 #[tokio::test]
-async fn an_agent_shows_its_metrics_and_events() {
+async fn an_agent_serves_its_metrics_and_events() {
     let site = Site::start(1, 1, EngineSpec::default()).await;
     let answer = call(site.callers(0), completion("pier-app", "A question?", 2)).await;
     let id = answer.expect("answer").request_id;
     let agent = site.agents[0].process.address("metrics");
-    let page = call(agent, request("GET", "/metrics", "", "")).await.expect("page");
-    let page = String::from_utf8_lossy(&page.body).into_owned();
+    let metrics = call(agent, request("GET", "/metrics", "", "")).await.expect("metrics");
+    let metrics = String::from_utf8_lossy(&metrics.body).into_owned();
     for line in ["shalelane_agent_started_total 1", "shalelane_agent_leased_tokens 0"] {
-        assert!(page.contains(line), "{line} is not in {page}");
+        assert!(metrics.contains(line), "{line} is not in {metrics}");
     }
     let path = format!("/timeline?request={id}");
     let events = call(agent, request("GET", &path, "", "")).await.expect("events").json();
-    let kinds: Vec<_> = events.as_array().into_iter().flatten().map(|one| &one["kind"]).collect();
+    let kinds: Vec<_> =
+        events.as_array().into_iter().flatten().map(|event| &event["kind"]).collect();
     assert_eq!(kinds, ["started", "done"]);
 }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! Real processes on loopback, for tests.
+//! Starts real processes on the loopback interface for tests.
 
-#![allow(dead_code, reason = "each test file uses its own part")]
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -19,16 +19,18 @@
 
 pub const VALDIVIA: &str = include_str!("../../examples/valdivia.toml");
 
-/// Time after which a wait for something that must come counts as failed.
-const HUNG: Duration = Duration::from_secs(60);
+/// Time after which a wait counts as failed.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A program of ours, ended with the test.
+/// A process of one of the project's programs, killed when the value is dropped.
 pub struct Process {
     child: Child,
+    /// The line that the program prints when it is ready.
     pub ready: String,
 }
 
 impl Process {
+    /// Starts a program and waits until it is ready.
     pub fn spawn(program: &str, args: &[&str]) -> Self {
         let mut child = Command::new(program)
             .args(args)
@@ -36,50 +38,52 @@
             .env("SHALELANE_LOG_FORMAT", "off")
             .stdout(Stdio::piped())
             .spawn()
-            .expect("a program");
+            .expect("a started program");
         let mut ready = String::new();
-        let output = child.stdout.take().expect("its output");
-        BufReader::new(output).read_line(&mut ready).expect("a line");
+        let output = child.stdout.take().expect("a piped output");
+        BufReader::new(output).read_line(&mut ready).expect("a line of output");
         Process { child, ready }
     }
 
+    /// Returns a listen address from the ready line.
     pub fn address(&self, name: &str) -> SocketAddr {
         let pair = self.ready.split_whitespace().find_map(|pair| pair.strip_prefix(name));
         pair.and_then(|pair| pair.strip_prefix('=')?.parse().ok()).expect("an address")
     }
 
+    /// Sends a signal to the process.
     fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
         let status = Command::new("kill").args([name, &id]).status().expect("kill");
         assert!(status.success());
     }
 
-    /// Asks for a planned stop.
-    pub fn ask_stop(&self) {
+    /// Requests a planned stop.
+    pub fn request_stop(&self) {
         self.signal("-TERM");
     }
 
-    /// Makes the process stand still, or go on.
+    /// Suspends or resumes the process.
     pub fn freeze(&self, is_frozen: bool) {
         self.signal(if is_frozen { "-STOP" } else { "-CONT" });
     }
 
-    /// Ends the process at once.
+    /// Kills the process.
     pub fn kill(&mut self) {
         self.child.kill().expect("kill");
-        self.child.wait().expect("its end");
+        self.child.wait().expect("an exit status");
     }
 
-    /// Waits for the process's own end, and tells whether it was a good one.
+    /// Waits until the process exits. Returns `true` if it reports success.
     pub fn wait(&mut self) -> bool {
         let start = Instant::now();
-        while start.elapsed() < HUNG {
+        while start.elapsed() < WAIT_TIMEOUT {
             if let Some(status) = self.child.try_wait().expect("a status") {
                 return status.success();
             }
             std::thread::sleep(Duration::from_millis(10));
         }
-        panic!("a process did not end");
+        panic!("a process did not exit within {WAIT_TIMEOUT:?}");
     }
 }
 
@@ -90,7 +94,7 @@
     }
 }
 
-/// An agent's process behind a fault proxy.
+/// The process of an agent behind a fault-injecting proxy.
 pub struct AgentProcess {
     pub name: String,
     pub process: Process,
@@ -100,14 +104,14 @@
 }
 
 impl AgentProcess {
+    /// Starts an agent and its proxy.
     pub fn spawn(name: &str, target: SocketAddr, kind: &'static str) -> Self {
         let process = spawn_agent(name, target, kind, "127.0.0.1:0");
         let proxy = FaultProxy::start(process.address("entries"));
         AgentProcess { name: name.to_owned(), process, proxy, target, kind }
     }
 
-    /// Ends the process at once and starts another life of it, at the same
-    /// address.
+    /// Kills the process and starts another incarnation of it at the same address.
     pub fn restart(&mut self) {
         let address = self.process.address("entries").to_string();
         self.process.kill();
@@ -115,6 +119,7 @@
     }
 }
 
+/// Starts the process of an agent.
 fn spawn_agent(name: &str, target: SocketAddr, kind: &str, listen: &str) -> Process {
     let target = target.to_string();
     let metrics = ["--metrics-listen", "127.0.0.1:0"];
@@ -123,7 +128,7 @@
     Process::spawn(env!("CARGO_BIN_EXE_shalelane-agent"), &args)
 }
 
-/// Processes and stand-ins of a small site.
+/// Processes of a small site, with the stand-ins of its engines, service, store and host list.
 pub struct Site {
     pub entries: Vec<Process>,
     pub agents: Vec<AgentProcess>,
@@ -135,13 +140,13 @@
 }
 
 impl Site {
-    /// Starts a site with the configuration of Valdivia in force.
+    /// Starts a site with the example configuration of Valdivia in force.
     pub async fn start(entries: usize, engines: usize, spec: EngineSpec) -> Self {
         let store = StoreServer::start();
         let hosts = HostServer::start(Duration::from_millis(50));
         let plain = PlainServer::start();
         let plain_agent = AgentProcess::spawn("plain-0", plain.server.address, "plain");
-        list(&hosts, &plain_agent, "booking-app");
+        list_target(&hosts, &plain_agent, "booking-app");
         let models = &["canal-8b"];
         let engines: Vec<_> = (0..engines)
             .map(|index| EngineServer::start(spec.clone(), models, index as u64, None))
@@ -152,7 +157,7 @@
             .map(|(index, engine)| {
                 let name = format!("runner-{index}");
                 let agent = AgentProcess::spawn(&name, engine.server.address, "engine");
-                list(&hosts, &agent, "canal-assistant");
+                list_target(&hosts, &agent, "canal-assistant");
                 agent
             })
             .collect();
@@ -169,6 +174,7 @@
         site
     }
 
+    /// Starts an entry and adds it to the host list.
     pub fn add_entry(&mut self, index: usize) {
         let (store, hosts) = (self.store.server.address.to_string(), self.hosts.server.address);
         let (hosts, name) = (hosts.to_string(), format!("entry-{index}"));
@@ -202,22 +208,24 @@
         self.entries.push(process);
     }
 
+    /// Returns the address at which an entry serves callers.
     pub fn callers(&self, index: usize) -> SocketAddr {
         self.entries[index].address("callers")
     }
 
+    /// Returns the address of an entry's administration API.
     pub fn admin(&self, index: usize) -> SocketAddr {
         self.entries[index].address("admin")
     }
 
-    /// Puts a configuration to the first entry, based on a version.
+    /// Applies a configuration that is based on version `base`, through the first entry.
     pub async fn apply(&self, text: &str, base: u64) -> WholeAnswer {
         let mut put = request("PUT", "/admin/v1/config", ADMIN_KEY, text.to_owned());
         put.headers_mut().insert("if-match", base.into());
         call(self.admin(0), put).await.expect("an answer")
     }
 
-    /// Asks an entry's administration API.
+    /// Requests a path of an entry's administration API.
     pub async fn ask_admin(&self, index: usize, path: &str) -> WholeAnswer {
         let get = request("GET", path, ADMIN_KEY, "");
         call(self.admin(index), get).await.expect("an answer")
@@ -233,18 +241,19 @@
         .await;
     }
 
-    /// Tokens that engines hold.
+    /// Returns the tokens of memory in use on all engines.
     pub fn held_tokens(&self) -> u64 {
         self.engines.iter().map(EngineServer::used).sum()
     }
 
-    /// Waits until no engine holds anything.
+    /// Waits until no engine has memory in use.
     pub async fn wait_nothing_held(&self) {
-        wait_until("nothing is held", async || self.held_tokens() == 0).await;
+        wait_until("no engine has memory in use", async || self.held_tokens() == 0).await;
     }
 }
 
-fn list(hosts: &HostServer, agent: &AgentProcess, service: &str) {
+/// Adds an agent's target to the host list.
+fn list_target(hosts: &HostServer, agent: &AgentProcess, service: &str) {
     hosts.set(HostRecord {
         name: agent.name.as_str().into(),
         role: HostRole::Target { service: service.into() },
@@ -254,21 +263,21 @@
     });
 }
 
-/// An order that may run once for its key.
+/// Returns a request for an order with an idempotency key.
 pub fn keyed_order(name: &str, key: &str) -> hyper::Request<http_body_util::Full<bytes::Bytes>> {
     let mut request = order(name);
     request.headers_mut().insert("idempotency-key", key.parse().expect("a header"));
     request
 }
 
-/// Waits for something that must come.
-pub async fn wait_until(what: &str, mut is_there: impl AsyncFnMut() -> bool) {
+/// Waits until a condition holds, and panics with `what` if it does not hold in time.
+pub async fn wait_until(what: &str, mut is_met: impl AsyncFnMut() -> bool) {
     let start = Instant::now();
-    while start.elapsed() < HUNG {
-        if is_there().await {
+    while start.elapsed() < WAIT_TIMEOUT {
+        if is_met().await {
             return;
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    panic!("in vain: {what}");
+    panic!("condition not met within {WAIT_TIMEOUT:?}: {what}");
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,5 +1,5 @@
-//! Frames between entries and agents: what is written is read back, and what
-//! is not of the protocol is refused.
+//! Frames between entries and agents: encoded messages decode to the same values,
+//! and invalid frames are rejected.
 
 use bytes::Bytes;
 use quickcheck::{Gen, QuickCheck};
@@ -16,10 +16,10 @@
 }
 
 #[test]
-fn messages_read_back() {
-    let mut marks = MarkBuilder::new("account");
-    marks.update(&vec![7; BLOCK_BYTES * 40]);
-    let marks = marks.into_marks();
+fn messages_survive_encoding_and_decoding() {
+    let mut builder = MarkBuilder::new("account");
+    builder.update(&vec![7; BLOCK_BYTES * 40]);
+    let marks = builder.into_marks();
     let need = TokenNeed { prompt: 40_960, answer: 64 };
     let key = AttemptKey(9, 2);
     let to_agent = [
@@ -62,10 +62,10 @@
 }
 
 #[test]
-fn no_frame_stops_the_program() {
+fn no_frame_causes_a_panic() {
     fn holds(frame: Vec<u8>) -> bool {
         let frame = Bytes::from(frame);
-        // Control frames begin with 0: try the rest of them as one as well.
+        // The first byte of a control frame is 0: also decode the bytes as a control frame.
         let control = Bytes::from([&[0], &frame[..]].concat());
         for frame in [frame, control] {
             let _ = ToAgent::from_frame(frame.clone());
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_frame_that_is_cut_short_is_refused() {
+fn a_truncated_frame_is_rejected() {
     let message = ToAgent::Resume(Resume {
         attempt: AttemptKey(9, 2),
         incarnation: Incarnation(5),
@@ -85,14 +85,17 @@
     });
     let frame = message.to_frame();
     for end in 0..frame.len() {
-        assert!(ToAgent::from_frame(frame.slice(..end)).is_err(), "{end} bytes were taken");
+        assert!(
+            ToAgent::from_frame(frame.slice(..end)).is_err(),
+            "a frame of {end} bytes was accepted"
+        );
     }
-    let error = ToAgent::from_frame(Bytes::new()).expect_err("a refusal");
+    let error = ToAgent::from_frame(Bytes::new()).expect_err("an error");
     assert_eq!(error.to_string(), "bad frame: empty");
 }
 
 #[test]
-fn marks_do_not_depend_on_how_the_text_arrives() {
+fn prefix_hashes_do_not_depend_on_how_the_text_is_split() {
     fn holds(text: Vec<u8>, cut: usize) -> bool {
         let text: Vec<u8> = std::iter::repeat_n(text, 100).flatten().collect();
         let (first, rest) = text.split_at(cut % (text.len() + 1));
@@ -107,14 +110,14 @@
 }
 
 #[test]
-fn accounts_share_no_marks_and_a_long_prompt_has_few() {
+fn accounts_share_no_prefix_hashes_and_a_long_prompt_has_few() {
     let text = vec![b'x'; 4_000_000];
-    let marks_of = |account: &str| {
-        let mut marks = MarkBuilder::new(account);
-        marks.update(&text);
-        marks.into_marks()
+    let hashes_of = |account: &str| {
+        let mut builder = MarkBuilder::new(account);
+        builder.update(&text);
+        builder.into_marks()
     };
-    let (one, other) = (marks_of("one"), marks_of("other"));
-    assert!(one.0.len() < 40, "{} marks", one.0.len());
+    let (one, other) = (hashes_of("one"), hashes_of("other"));
+    assert!(one.0.len() < 40, "{} prefix hashes", one.0.len());
     assert!(one.0.iter().zip(&other.0).all(|(a, b)| a.1 != b.1));
 }
