--- a/src/claim.rs
+++ b/src/claim.rs
@@ -14,10 +14,10 @@
 use crate::hex::to_hex;
 
 /// Number of logs over which keys are distributed.
-pub const SHARDS: u8 = 8;
+pub const SHARD_COUNT: u8 = 8;
 
 /// Retention period of a claim, in seconds.
-pub const RETENTION: u64 = 3_600;
+pub const RETENTION_SECONDS: u64 = 3_600;
 
 /// Hash of a caller's idempotency key, its client account and its service.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -40,7 +40,7 @@
     #[must_use]
     pub fn shard(&self) -> u8 {
         let first = u8::from_str_radix(&self.0[..2], 16).unwrap_or(0);
-        first % SHARDS
+        first % SHARD_COUNT
     }
 }
 
@@ -177,7 +177,7 @@
     /// Drops claims that are older than the retention period. Returns the number of the
     /// first segment within the retention period, if it has changed.
     pub fn expire(&mut self, now: u64) -> Option<u64> {
-        let oldest = now.saturating_sub(RETENTION);
+        let oldest = now.saturating_sub(RETENTION_SECONDS);
         self.owners.retain(|_, owner| owner.at >= oldest);
         let expired = self.segment_times.iter().take_while(|(_, at)| *at < oldest).count();
         let (last, _) = self.segment_times.drain(..expired).next_back()?;
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -40,11 +40,11 @@
 
 /// Capacity of a link's queue of control frames. A link whose queue is full is too slow and
 /// is closed.
-pub(crate) const CONTROL_QUEUE: usize = 16_384;
+pub(crate) const CONTROL_QUEUE_LEN: usize = 16_384;
 
 /// Capacity of a link's queue of body frames. A link whose queue is full is too slow and
 /// is closed.
-pub(crate) const BODY_QUEUE: usize = 512;
+pub(crate) const BODY_QUEUE_LEN: usize = 512;
 
 type Socket = WebSocketStream<TcpStream>;
 type Nonce = [u8; 16];
@@ -96,8 +96,8 @@
 
 /// Creates the queues of a link.
 pub(crate) fn link_queue() -> (LinkSender, LinkQueue) {
-    let (control_in, control) = mpsc::channel(CONTROL_QUEUE);
-    let (body_in, body) = mpsc::channel(BODY_QUEUE);
+    let (control_in, control) = mpsc::channel(CONTROL_QUEUE_LEN);
+    let (body_in, body) = mpsc::channel(BODY_QUEUE_LEN);
     (LinkSender { control: control_in, body: body_in }, LinkQueue { control, body })
 }
 
--- a/tests/claims.rs
+++ b/tests/claims.rs
@@ -1,6 +1,8 @@
 //! The log of claims on callers' idempotency keys, without a store.
 
-use shalelane::claim::{ClaimHead, ClaimKey, ClaimLog, ClaimRecord, ClaimSegment, RETENTION};
+use shalelane::claim::{
+    ClaimHead, ClaimKey, ClaimLog, ClaimRecord, ClaimSegment, RETENTION_SECONDS,
+};
 
 fn claim(key: &str, request: &str) -> ClaimRecord {
     let key = ClaimKey::new("account", "service", key);
@@ -49,8 +51,8 @@
     let mut log = ClaimLog::new(ClaimHead { first: 5, epoch: 0 });
     log.push(&segment(100, vec![claim("a", "one")]));
     log.push(&segment(200, vec![claim("b", "one")]));
-    assert_eq!(log.expire(100 + RETENTION), None);
-    assert_eq!(log.expire(101 + RETENTION), Some(6));
+    assert_eq!(log.expire(100 + RETENTION_SECONDS), None);
+    assert_eq!(log.expire(101 + RETENTION_SECONDS), Some(6));
     assert_eq!((owner(&log, "a"), owner(&log, "b")), (None, Some("one")));
     assert_eq!(log.len(), 1);
 }
