--- a/src/config/diff.rs
+++ b/src/config/diff.rs
@@ -1,4 +1,4 @@
-//! What differs between two configurations, item by item.
+//! Differences between two configurations, item by item.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -9,46 +9,48 @@
 use super::Config;
 use super::manifest::ItemKind;
 
-/// How an item differs.
+/// Kind of difference between two versions of an item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Only the newer configuration has it.
+    /// Only the newer configuration contains the item.
     Added,
-    /// Only the older configuration has it.
+    /// Only the older configuration contains the item.
     Removed,
-    /// Both have it, with another content.
+    /// Both configurations contain the item, with different content.
     Changed,
 }
 
-/// An item that differs.
+/// Difference between two versions of one item.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ItemChange {
-    /// What the item describes.
+    /// Kind of the item.
     pub kind: ItemKind,
-    /// Its name.
+    /// Name of the item.
     pub name: Arc<str>,
-    /// How it differs.
+    /// Kind of difference.
     pub change: Change,
-    /// Fields that differ, with the older and the newer value as JSON.
+    /// Fields with different values; empty for an added or removed item.
     pub fields: Vec<FieldChange>,
 }
 
-/// A field that differs.
+/// Difference in one field of an item.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FieldChange {
-    /// Its name.
+    /// Name of the field.
     pub field: String,
-    /// Value in the older configuration.
+    /// Value in the older configuration as JSON, `none` if the field is absent.
     pub older: String,
-    /// Value in the newer configuration.
+    /// Value in the newer configuration as JSON, `none` if the field is absent.
     pub newer: String,
 }
 
-/// All items that differ.
+/// Differences of all items between two configurations.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ConfigDiff(pub Vec<ItemChange>);
 
+/// Fields of an item by name.
 type Fields = serde_json::Map<String, serde_json::Value>;
+/// Fields of the items of one kind, by the name of the item.
 type Items = BTreeMap<Arc<str>, Fields>;
 
 impl ConfigDiff {
@@ -67,7 +69,7 @@
         diff
     }
 
-    /// Returns true where nothing differs.
+    /// Returns `true` if the configurations are equal.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
@@ -101,7 +103,7 @@
     let mut names: Vec<&String> = older.keys().chain(newer.keys()).collect();
     names.sort_unstable();
     names.dedup();
-    let text = |fields: &Fields, name: &str| {
+    let to_json = |fields: &Fields, name: &str| {
         fields.get(name).map_or_else(|| "none".to_owned(), ToString::to_string)
     };
     names
@@ -109,8 +111,8 @@
         .filter(|name| older.get(*name) != newer.get(*name))
         .map(|name| FieldChange {
             field: name.clone(),
-            older: text(older, name),
-            newer: text(newer, name),
+            older: to_json(older, name),
+            newer: to_json(newer, name),
         })
         .collect()
 }
--- a/src/config/manifest.rs
+++ b/src/config/manifest.rs
@@ -1,9 +1,9 @@
-//! The form in which a configuration is stored, so that a change travels as
-//! its delta.
+//! Storage format of a configuration.
 //!
-//! Each service, model, template and account is an object of its own, named
-//! by the hash of its content and never changed. The manifest lists them;
-//! its conditional update is what accepts a configuration.
+//! Each service, model, template and account is a separate, immutable object that is named by
+//! the hash of its content, so that a reader fetches only the objects that changed. The
+//! manifest lists the objects of a configuration; a conditional update of the manifest makes
+//! the configuration the accepted one.
 
 use std::sync::Arc;
 
@@ -17,7 +17,7 @@
 use crate::error::{Error, Result};
 use crate::hex::to_hex;
 
-/// What an object of a manifest describes.
+/// Kind of a configuration item.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ItemKind {
@@ -35,50 +35,50 @@
     ClientAccount,
 }
 
-/// One object of a manifest.
+/// Reference from a manifest to one object.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ManifestItem {
-    /// What it describes.
+    /// Kind of the item that the object holds.
     pub kind: ItemKind,
-    /// Hash of its content, by which it is named in the store.
+    /// Hash of the content, which names the object in the store.
     pub hash: Arc<str>,
 }
 
-/// All objects of one configuration.
+/// List of the objects of one configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Manifest {
-    /// Random text by which a writer knows its own manifest again.
+    /// Random text by which a writer recognizes its own manifest when it reads it back.
     pub token: String,
-    /// Epoch of the store in which it was written.
+    /// Epoch of the store in which the manifest was written.
     #[serde(default)]
     pub epoch: u64,
-    /// The objects.
+    /// References to the objects, in the order of the configuration.
     pub items: Vec<ManifestItem>,
 }
 
-/// An object and its name.
+/// Content of an object and the hash that names it.
 #[derive(Clone, Debug)]
 pub struct ManifestObject {
     /// Hash of the content.
     pub hash: Arc<str>,
-    /// JSON.
+    /// JSON of the item.
     pub content: Bytes,
 }
 
 impl Manifest {
-    /// Takes a configuration apart.
+    /// Splits a configuration into a manifest and its objects.
     #[must_use]
     pub fn from_config(config: &Config, token: String) -> (Self, Vec<ManifestObject>) {
         let mut manifest = Manifest { token, ..Manifest::default() };
         let mut objects = Vec::new();
-        manifest.add_all(ItemKind::Service, &config.services, &mut objects);
-        manifest.add_all(ItemKind::Model, &config.models, &mut objects);
-        manifest.add_all(ItemKind::Template, &config.templates, &mut objects);
-        manifest.add_all(ItemKind::ClientAccount, &config.client_accounts, &mut objects);
+        manifest.add_items(ItemKind::Service, &config.services, &mut objects);
+        manifest.add_items(ItemKind::Model, &config.models, &mut objects);
+        manifest.add_items(ItemKind::Template, &config.templates, &mut objects);
+        manifest.add_items(ItemKind::ClientAccount, &config.client_accounts, &mut objects);
         (manifest, objects)
     }
 
-    fn add_all<T: Serialize>(
+    fn add_items<T: Serialize>(
         &mut self,
         kind: ItemKind,
         items: &[T],
@@ -92,25 +92,26 @@
         }
     }
 
-    /// Puts a configuration together and checks it.
+    /// Assembles and validates the configuration; `find_object` returns the content for a hash.
     ///
     /// # Errors
     ///
-    /// A missing or half-written object, or a fault of the whole.
+    /// Returns an error if an object is missing or malformed, or if the assembled configuration
+    /// is invalid.
     pub fn into_config(
         self,
         version: ConfigVersion,
-        find: impl Fn(&str) -> Option<Bytes>,
+        find_object: impl Fn(&str) -> Option<Bytes>,
     ) -> Result<Config> {
         let mut config = Config { version, ..Config::default() };
         for item in &self.items {
-            let content = find(&item.hash)
+            let content = find_object(&item.hash)
                 .ok_or_else(|| Error::config(None, format!("object {} is missing", item.hash)))?;
             match item.kind {
-                ItemKind::Service => config.services.push(read(&content)?),
-                ItemKind::Model => config.models.push(read(&content)?),
-                ItemKind::Template => config.templates.push(read(&content)?),
-                ItemKind::ClientAccount => config.client_accounts.push(read(&content)?),
+                ItemKind::Service => config.services.push(parse_object(&content)?),
+                ItemKind::Model => config.models.push(parse_object(&content)?),
+                ItemKind::Template => config.templates.push(parse_object(&content)?),
+                ItemKind::ClientAccount => config.client_accounts.push(parse_object(&content)?),
             }
         }
         config.check(&|_| None)?;
@@ -118,13 +119,13 @@
     }
 }
 
-fn read<T: DeserializeOwned>(content: &[u8]) -> Result<T> {
+fn parse_object<T: DeserializeOwned>(content: &[u8]) -> Result<T> {
     serde_json::from_slice(content)
-        .map_err(|error| Error::config(None, format!("half-written object: {error}")))
+        .map_err(|error| Error::config(None, format!("malformed configuration object: {error}")))
 }
 
-/// Names content by its hash.
+/// Returns the hash that names `content`: the first 12 bytes of its SHA-256.
 fn to_hash(content: &[u8]) -> Arc<str> {
-    const BYTES: usize = 12;
-    to_hex(&Sha256::digest(content)[..BYTES]).into()
+    const HASH_BYTES: usize = 12;
+    to_hex(&Sha256::digest(content)[..HASH_BYTES]).into()
 }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,8 +1,8 @@
-//! Declared configuration: what operators state and the fleet obeys.
+//! Declared configuration: services, models, templates and client accounts.
 //!
-//! People write TOML. [`Config::from_toml`] refuses unknown fields and bad
-//! references with their place in the file and the nearest known name. The
-//! store keeps the same document as JSON.
+//! Operators write the configuration as TOML. [`Config::from_toml`] rejects unknown fields and
+//! unknown references with their position in the file and the most similar known name. The
+//! store holds the same content as JSON, one object for each item (see [`manifest`]).
 
 mod check;
 pub mod diff;
@@ -15,15 +15,15 @@
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// Number of an accepted configuration; it only grows.
+/// Version number of an accepted configuration; it increases with each accepted change.
 #[derive(
     Clone, Copy, Debug, Default, Display, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct ConfigVersion(pub u64);
 
 impl ConfigVersion {
-    /// The version of a manifest that was written as a version of its object in an epoch of
-    /// the store: one of a later epoch is a later one.
+    /// Combines the epoch of the store in which a manifest was written with the version of
+    /// the manifest's object. A version from a later epoch is always greater.
     #[must_use]
     pub fn from_store(epoch: u64, version: u64) -> Self {
         const VERSION_BITS: u32 = 40;
@@ -31,14 +31,14 @@
     }
 }
 
-/// A whole declared configuration.
+/// A complete declared configuration.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
-    /// Version, zero for one that was not accepted yet.
+    /// Version, zero for a configuration that is not accepted yet.
     #[serde(default)]
     pub version: ConfigVersion,
-    /// Services in front of targets.
+    /// Services that targets belong to.
     #[serde(default)]
     pub services: Vec<Service>,
     /// Models that engine services offer.
@@ -52,25 +52,25 @@
     pub client_accounts: Vec<ClientAccount>,
 }
 
-/// What stands behind the targets of a service.
+/// Kind of the targets of a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ServiceKind {
-    /// Model engines.
+    /// Engines that run models.
     Engine,
     /// A plain HTTP service.
     Plain,
 }
 
-/// A set of targets that can stand in for one another.
+/// A set of interchangeable targets.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
     /// Name, unique among services.
     pub name: Arc<str>,
-    /// What stands behind its targets.
+    /// Kind of the targets.
     pub kind: ServiceKind,
-    /// Paths of a plain service whose calls may not be repeated.
+    /// Path prefixes of a plain service whose calls must not be repeated.
     #[serde(default)]
     pub not_repeatable: Vec<Arc<str>>,
 }
@@ -81,148 +81,149 @@
 pub struct Model {
     /// Name, unique among models.
     pub name: Arc<str>,
-    /// The service whose engines load it.
+    /// Name of the service whose engines load the model.
     pub service: Arc<str>,
-    /// Versions that can be loaded, the preferred one first.
+    /// Versions that engines can load, the preferred version first.
     #[serde(default)]
     pub versions: Vec<Arc<str>>,
-    /// Adapters that can be loaded onto it.
+    /// Adapters that engines can load onto the model.
     #[serde(default)]
     pub adapters: Vec<Arc<str>>,
-    /// Longest prompt that it takes, in tokens.
+    /// Longest prompt that the model accepts, in tokens.
     pub max_prompt_tokens: u64,
 }
 
-/// How urgent the requests of a template are.
+/// Urgency of requests.
 #[derive(
     Clone, Copy, Debug, Display, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize,
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum Urgency {
-    /// A person waits.
+    /// A person waits for the answer.
     #[display("interactive")]
     Interactive,
-    /// Soon.
+    /// Default urgency, between interactive and batch.
     #[default]
     #[display("normal")]
     Normal,
-    /// May wait but must finish.
+    /// The request can wait but must finish.
     #[display("batch")]
     Batch,
 }
 
-/// A time limit for prompts up to a length.
+/// Time limit of requests with prompts up to a given length.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TimeLimit {
-    /// Longest prompt that this limit is for, in tokens.
+    /// Longest prompt that the limit applies to, in tokens.
     pub up_to_tokens: u64,
-    /// Seconds from arrival to the end of the answer.
+    /// Time from the arrival of the request to the end of the answer, in seconds.
     pub seconds: u64,
 }
 
-/// Requests that a client account may make, with parameters to be set.
+/// Permissions and limits that client accounts refer to, some of which an account can override.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Template {
     /// Name, unique among templates.
     pub name: Arc<str>,
-    /// Models that may be used.
+    /// Models that requests can use.
     #[serde(default)]
     pub models: Vec<Arc<str>>,
-    /// Adapters that may be used.
+    /// Adapters that requests can use.
     #[serde(default)]
     pub adapters: Vec<Arc<str>>,
-    /// Versions that may be asked for by name; empty allows the preferred one only.
+    /// Versions that requests can name; if empty, only the preferred version is allowed.
     #[serde(default)]
     pub versions: Vec<Arc<str>>,
-    /// Plain services that may be called.
+    /// Plain services that requests can call.
     #[serde(default)]
     pub services: Vec<Arc<str>>,
-    /// How urgent the requests are.
+    /// Urgency of the requests.
     #[serde(default)]
     pub urgency: Urgency,
-    /// Whether a model request may be run again after a failure.
+    /// Whether a model request can be run again after a failure.
     #[serde(default = "yes")]
     pub repeatable: bool,
-    /// Time limits by prompt length, shortest first.
+    /// Time limits by prompt length, the shortest length first.
     pub time_limits: Vec<TimeLimit>,
-    /// Highest rate of an account over the whole fleet, in requests a second.
+    /// Maximum rate of an account across the fleet, in requests per second.
     #[serde(default = "unlimited_rate")]
     pub requests_per_second: f64,
-    /// Most requests of an account in flight over the whole fleet.
+    /// Maximum number of requests of an account in flight across the fleet.
     #[serde(default = "unlimited_count")]
     pub concurrent: u64,
-    /// Names of the fields that an account may set for itself.
+    /// Names of the fields that an account can override.
     #[serde(default)]
     pub parameters: Vec<Arc<str>>,
 }
 
-/// Values of an account for its template's parameters.
+/// Values by which an account overrides fields of its template.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Parameters {
-    /// In place of the template's models.
+    /// Overrides the models of the template.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub models: Option<Vec<Arc<str>>>,
-    /// In place of the template's urgency.
+    /// Overrides the urgency of the template.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub urgency: Option<Urgency>,
-    /// In place of the template's rate.
+    /// Overrides the maximum rate of the template, in requests per second.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub requests_per_second: Option<f64>,
-    /// In place of the template's count in flight.
+    /// Overrides the maximum number of requests in flight of the template.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub concurrent: Option<u64>,
 }
 
-/// A client account.
+/// A client account: its keys, its template and its overrides.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClientAccount {
     /// Name, unique among client accounts.
     pub name: Arc<str>,
-    /// The template its requests follow.
+    /// Name of the template that applies to the account.
     pub template: Arc<str>,
-    /// SHA-256 of each key in force, in hexadecimal.
+    /// SHA-256 of each valid key, in lowercase hexadecimal.
     pub key_sha256: Vec<Arc<str>>,
-    /// Share of a contended target, against other accounts.
+    /// Relative share of a contended target, compared with other accounts.
     #[serde(default = "one")]
     pub weight: u32,
-    /// Values for the template's parameters.
+    /// Overrides of template fields.
     #[serde(default)]
     pub set: Parameters,
 }
 
-/// What one client account may do, its template and parameters joined.
+/// Permissions and limits of one client account: its template with its overrides applied.
 #[derive(Clone, Debug)]
 pub struct AccountPolicy {
     /// Name of the account.
     pub name: Arc<str>,
-    /// Models that may be used.
+    /// Models that requests can use.
     pub models: Vec<Arc<str>>,
-    /// Adapters that may be used.
+    /// Adapters that requests can use.
     pub adapters: Vec<Arc<str>>,
-    /// Versions that may be asked for by name.
+    /// Versions that requests can name.
     pub versions: Vec<Arc<str>>,
-    /// Plain services that may be called.
+    /// Plain services that requests can call.
     pub services: Vec<Arc<str>>,
-    /// How urgent the requests are.
+    /// Urgency of the requests.
     pub urgency: Urgency,
-    /// Whether model requests may be run again.
+    /// Whether a model request can be run again after a failure.
     pub repeatable: bool,
-    /// Time limits by prompt length, shortest first.
+    /// Time limits by prompt length, the shortest length first.
     pub time_limits: Vec<TimeLimit>,
-    /// Requests a second over the fleet.
+    /// Maximum rate across the fleet, in requests per second.
     pub requests_per_second: f64,
-    /// Requests in flight over the fleet.
+    /// Maximum number of requests in flight across the fleet.
     pub concurrent: u64,
-    /// Share of a contended target.
+    /// Relative share of a contended target, compared with other accounts.
     pub weight: u32,
 }
 
 impl AccountPolicy {
-    /// Time limit of a prompt of `tokens`, none where no limit is long enough.
+    /// Returns the time limit of a prompt of `tokens` tokens, `None` if the prompt is longer
+    /// than every limit allows.
     #[must_use]
     pub fn time_limit(&self, tokens: u64) -> Option<Duration> {
         let limit = self.time_limits.iter().find(|limit| tokens <= limit.up_to_tokens)?;
@@ -231,25 +232,25 @@
 }
 
 impl Config {
-    /// Looks up a service.
+    /// Looks up a service by name.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.iter().find(|service| &*service.name == name)
     }
 
-    /// Looks up a model.
+    /// Looks up a model by name.
     #[must_use]
     pub fn model(&self, name: &str) -> Option<&Model> {
         self.models.iter().find(|model| &*model.name == name)
     }
 
-    /// Looks up a template.
+    /// Looks up a template by name.
     #[must_use]
     pub fn template(&self, name: &str) -> Option<&Template> {
         self.templates.iter().find(|template| &*template.name == name)
     }
 
-    /// Joins an account with its template, none where that is missing.
+    /// Applies the overrides of an account to its template, `None` if the template is missing.
     #[must_use]
     pub fn policy(&self, account: &ClientAccount) -> Option<AccountPolicy> {
         let template = self.template(&account.template)?;
--- a/src/config/parse.rs
+++ b/src/config/parse.rs
@@ -1,16 +1,16 @@
-//! TOML to [`Config`], with the place of each fault.
+//! Parsing of [`Config`] from TOML, with line and column of each error.
 
 use super::Config;
-use super::check::Step;
-use crate::error::{Error, Place, Result};
+use super::check::PathSegment;
+use crate::error::{Error, Result, TextPosition};
 
 impl Config {
-    /// Reads and checks a TOML document.
+    /// Parses and validates a TOML document.
     ///
     /// # Errors
     ///
-    /// A fault of syntax, an unknown field, a bad reference or a value out of
-    /// range. The error carries line and column.
+    /// Returns an error for invalid syntax, an unknown field, an unknown reference or a value
+    /// out of range. The error carries line and column.
     ///
     /// # Example
     ///
@@ -20,25 +20,26 @@
     /// ```
     pub fn from_toml(text: &str) -> Result<Config> {
         let config: Config = toml::from_str(text).map_err(|error| from_toml_error(text, &error))?;
-        config.check(&|path| find_path(text, path))?;
+        config.check(&|path| locate_path(text, path))?;
         Ok(config)
     }
 
-    /// Reads and checks the JSON form that the store keeps.
+    /// Parses and validates the JSON form that the store holds.
     ///
     /// # Errors
     ///
-    /// A half-written document, or a fault that [`Config::from_toml`] refuses.
+    /// Returns an error for malformed or truncated JSON, and for content that
+    /// [`Config::from_toml`] rejects.
     pub fn from_json(bytes: &[u8]) -> Result<Config> {
         let config: Config = serde_json::from_slice(bytes).map_err(|error| {
-            let place = Place { line: error.line(), column: error.column() };
-            Error::config(Some(place), "not a configuration document")
+            let position = TextPosition { line: error.line(), column: error.column() };
+            Error::config(Some(position), "not a configuration document")
         })?;
         config.check(&|_| None)?;
         Ok(config)
     }
 
-    /// Writes the JSON form that the store keeps.
+    /// Serializes the configuration to the JSON form that the store holds.
     #[must_use]
     pub fn to_json(&self) -> Vec<u8> {
         serde_json::to_vec(self).unwrap_or_default()
@@ -47,58 +48,64 @@
 
 #[cold]
 fn from_toml_error(text: &str, error: &toml::de::Error) -> Error {
-    let place = error.span().map(|span| to_place(text, span.start));
+    let position = error.span().map(|span| to_position(text, span.start));
     let mut message = error.message().replace('\n', " ");
     if let Some(near) = nearest_field(&message) {
         message = format!("{message}; nearest is `{near}`");
     }
-    Error::config(place, message)
+    Error::config(position, message)
 }
 
-/// Finds the nearest of the names that serde lists for an unknown field.
+/// Finds the most similar field name in serde's message about an unknown field, which lists
+/// the expected names.
 fn nearest_field(message: &str) -> Option<String> {
     let (unknown, expected) = message.strip_prefix("unknown field `")?.split_once('`')?;
     let known = expected.split('`').skip(1).step_by(2);
     nearest(unknown, known).map(str::to_owned)
 }
 
-/// The known name that most resembles `name`, none where nothing does.
+/// Returns the known name most similar to `name`, `None` if none is similar enough.
 pub(super) fn nearest<'a>(name: &str, known: impl Iterator<Item = &'a str>) -> Option<&'a str> {
-    const LIKENESS: f64 = 0.7;
+    /// Minimum Jaro-Winkler similarity of a name that an error suggests.
+    const MIN_SIMILARITY: f64 = 0.7;
     known
         .map(|other| (strsim::jaro_winkler(name, other), other))
-        .filter(|(likeness, _)| *likeness >= LIKENESS)
+        .filter(|(similarity, _)| *similarity >= MIN_SIMILARITY)
         .max_by(|a, b| a.0.total_cmp(&b.0))
         .map(|(_, other)| other)
 }
 
-fn to_place(text: &str, offset: usize) -> Place {
+/// Converts a byte offset to line and column.
+fn to_position(text: &str, offset: usize) -> TextPosition {
     let before = &text[..offset.min(text.len())];
     let line = before.matches('\n').count() + 1;
-    let column = before.len() - before.rfind('\n').map_or(0, |at| at + 1) + 1;
-    Place { line, column }
+    let column = before.len() - before.rfind('\n').map_or(0, |newline| newline + 1) + 1;
+    TextPosition { line, column }
 }
 
-/// Finds where the value at `path` stands.
-fn find_path(text: &str, path: &[Step]) -> Option<Place> {
+/// Finds the position of the value at `path`, or of its innermost ancestor that has one.
+fn locate_path(text: &str, path: &[PathSegment]) -> Option<TextPosition> {
     let document = toml_edit::ImDocument::parse(text).ok()?;
     let mut item = document.as_item();
     let mut span = None;
-    for step in path {
-        let next = match step {
-            Step::Field(name) => item.get(*name),
-            Step::Index(index) => match item.get(*index) {
+    for segment in path {
+        let next = match segment {
+            PathSegment::Field(name) => item.get(*name),
+            PathSegment::Index(index) => match item.get(*index) {
                 Some(inner) => Some(inner),
-                None => return element_span(item, *index).map(|at| to_place(text, at)),
+                None => {
+                    return element_offset(item, *index).map(|offset| to_position(text, offset));
+                }
             },
         };
         let Some(inner) = next else { break };
         span = inner.span().or(span);
         item = inner;
     }
-    span.map(|span| to_place(text, span.start))
+    span.map(|span| to_position(text, span.start))
 }
 
-fn element_span(item: &toml_edit::Item, index: usize) -> Option<usize> {
+/// Returns the byte offset of an element of an inline array.
+fn element_offset(item: &toml_edit::Item, index: usize) -> Option<usize> {
     Some(item.as_array()?.get(index)?.span()?.start)
 }
--- a/src/error.rs
+++ b/src/error.rs
@@ -1,35 +1,36 @@
-//! The error of the library's fallible calls.
+//! Error type of the library.
 
 use std::fmt;
 use std::io;
 
-/// A failure to read settings or configuration, to speak with a peer, or to
-/// reach the platform.
+/// A failure to read settings or configuration, to communicate with a peer, or to reach the
+/// platform.
 pub struct Error {
     code: Box<ErrorCode>,
 }
 
-/// The crate's result.
+/// Result type of the library.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// What kind of failure an [`Error`] is.
+/// Category of an [`Error`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Category {
-    /// A flag or an environment variable.
+    /// Invalid flags, environment variables or settings file.
     Settings,
-    /// Declared configuration that was refused.
+    /// Invalid declared configuration.
     Config,
-    /// A peer that broke the protocol or failed authentication.
+    /// Protocol violation or failed authentication of a peer.
     Peer,
-    /// The platform's store or host list.
+    /// Failed call to the platform, a target or another process: no response, an error status
+    /// or a conflicting update.
     Platform,
-    /// A failure of the operating system.
+    /// Input or output error of the operating system.
     Io,
 }
 
 pub(crate) enum ErrorCode {
     Settings(String),
-    Config { place: Option<Place>, text: String },
+    Config { position: Option<TextPosition>, text: String },
     Frame(&'static str),
     Handshake(&'static str),
     Status { status: u16, text: String },
@@ -38,9 +39,9 @@
     Io(io::Error),
 }
 
-/// Line and column of a fault in a file, both from 1.
+/// Line and column of an error in a file, both from 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Place {
+pub(crate) struct TextPosition {
     pub(crate) line: usize,
     pub(crate) column: usize,
 }
@@ -57,8 +58,8 @@
     }
 
     #[cold]
-    pub(crate) fn config(place: Option<Place>, text: impl Into<String>) -> Self {
-        Error::from_code(ErrorCode::Config { place, text: text.into() })
+    pub(crate) fn config(position: Option<TextPosition>, text: impl Into<String>) -> Self {
+        Error::from_code(ErrorCode::Config { position, text: text.into() })
     }
 
     #[cold]
@@ -71,21 +72,21 @@
         Error::from_code(ErrorCode::Frame(text))
     }
 
-    /// A fault in flags, variables or a settings file.
+    /// Creates an error about flags, environment variables or a settings file.
     #[cold]
     #[must_use]
     pub fn from_settings(text: impl Into<String>) -> Self {
         Error::settings(text)
     }
 
-    /// An answer of the platform that is not what it should be.
+    /// Creates an error about an unexpected response of the platform.
     #[cold]
     #[must_use]
     pub fn from_answer(status: u16, text: impl Into<String>) -> Self {
         Error::from_code(ErrorCode::Status { status, text: text.into() })
     }
 
-    /// Returns the kind of this failure.
+    /// Returns the category of the error.
     #[must_use]
     pub fn classify(&self) -> Category {
         match &*self.code {
@@ -99,45 +100,46 @@
         }
     }
 
-    /// Returns true for a fault in flags or environment variables.
+    /// Returns `true` if flags, environment variables or a settings file are invalid.
     #[must_use]
     pub fn is_settings(&self) -> bool {
         self.classify() == Category::Settings
     }
 
-    /// Returns true for a fault in declared configuration.
+    /// Returns `true` if the declared configuration is invalid.
     #[must_use]
     pub fn is_config(&self) -> bool {
         self.classify() == Category::Config
     }
 
-    /// Returns true where a conditional update lost against another one.
+    /// Returns `true` if a conditional update failed because another version is stored.
     #[must_use]
     pub fn is_conflict(&self) -> bool {
         matches!(&*self.code, ErrorCode::Conflict { .. })
     }
 
-    /// Returns true where the outcome of a call is unknown.
+    /// Returns `true` if the peer was unreachable or its response was lost, so that the outcome
+    /// of a call is unknown.
     #[must_use]
     pub fn is_unreachable(&self) -> bool {
         matches!(&*self.code, ErrorCode::Unreachable(_))
     }
 
-    /// Line of the fault in a configuration file, from 1.
+    /// Returns the line of the error in a configuration file, from 1.
     #[must_use]
     pub fn line(&self) -> Option<usize> {
-        self.place().map(|place| place.line)
+        self.position().map(|position| position.line)
     }
 
-    /// Column of the fault in a configuration file, from 1.
+    /// Returns the column of the error in a configuration file, from 1.
     #[must_use]
     pub fn column(&self) -> Option<usize> {
-        self.place().map(|place| place.column)
+        self.position().map(|position| position.column)
     }
 
-    fn place(&self) -> Option<Place> {
+    fn position(&self) -> Option<TextPosition> {
         match &*self.code {
-            ErrorCode::Config { place, .. } => *place,
+            ErrorCode::Config { position, .. } => *position,
             _ => None,
         }
     }
@@ -146,11 +148,11 @@
 impl fmt::Display for ErrorCode {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ErrorCode::Settings(text) | ErrorCode::Config { place: None, text } => {
+            ErrorCode::Settings(text) | ErrorCode::Config { position: None, text } => {
                 f.write_str(text)
             }
-            ErrorCode::Config { place: Some(place), text } => {
-                write!(f, "{text} at line {} column {}", place.line, place.column)
+            ErrorCode::Config { position: Some(position), text } => {
+                write!(f, "{text} at line {} column {}", position.line, position.column)
             }
             ErrorCode::Frame(text) => write!(f, "bad frame: {text}"),
             ErrorCode::Handshake(text) => write!(f, "handshake failed: {text}"),
