--- a/src/store.rs
+++ b/src/store.rs
@@ -1,5 +1,4 @@
-//! Client of the platform's store: objects with versions, conditional
-//! updates and watches.
+//! Client of the platform's store: versioned objects with conditional updates and watches.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,26 +11,26 @@
 use crate::client::{CallBody, HttpClient, full};
 use crate::error::{Error, ErrorCode, Result};
 
-/// Header by which the store says how often it has come back from an old copy.
+/// Header with the store's epoch: the number of times that it was restored from an old copy.
 pub const STORE_EPOCH: &str = "x-store-epoch";
 
-/// Longest time of a call that does not wait.
-const CALL_LIMIT: Duration = Duration::from_secs(2);
+/// Timeout of a call; a watch adds its wait.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Connections that are kept.
-const KEPT: usize = 4;
+/// Maximum number of idle connections that are kept open.
+const MAX_IDLE_CONNECTIONS: usize = 4;
 
-/// Version of a stored object, zero for one that is not there.
+/// Version of a stored object, zero for an object that does not exist.
 pub type ObjectVersion = u64;
 
-/// An object as it is stored.
+/// A stored object with its version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredObject {
-    /// Epoch of the store that showed it.
+    /// Epoch of the store at the time of the read.
     pub epoch: u64,
-    /// Its version.
+    /// Version of the object.
     pub version: ObjectVersion,
-    /// Its content.
+    /// Content of the object.
     pub content: Bytes,
 }
 
@@ -40,34 +39,35 @@
 pub struct StoreClient {
     address: Arc<str>,
     http: HttpClient,
-    /// The newest epoch that an answer named.
+    /// Latest epoch in a response of the store.
     epoch: Arc<watch::Sender<u64>>,
 }
 
 impl StoreClient {
-    /// A client of the store at `address`, `ip:port`.
+    /// Creates a client of the store at `address`, in the form `ip:port`.
     #[must_use]
     pub fn new(address: Arc<str>) -> Self {
         let epoch = Arc::new(watch::Sender::new(0));
-        StoreClient { address, http: HttpClient::new(KEPT), epoch }
+        StoreClient { address, http: HttpClient::new(MAX_IDLE_CONNECTIONS), epoch }
     }
 
-    /// The epoch of the store, as far as it is known here: how often it has come back from an
-    /// old copy, each of which gives out versions again.
+    /// Returns the latest known epoch of the store: the number of times that it was restored
+    /// from an old copy. Each restored store issues version numbers again.
     #[must_use]
     pub fn epoch(&self) -> u64 {
         *self.epoch.borrow()
     }
 
-    /// Tells of each new epoch.
+    /// Subscribes to changes of the epoch.
     #[must_use]
     pub fn subscribe_epoch(&self) -> watch::Receiver<u64> {
         self.epoch.subscribe()
     }
 
-    /// Calls the store, and notes the epoch that its answer names.
-    async fn call(&self, request: Request<CallBody>, limit: Duration) -> Result<Response<Bytes>> {
-        let response = self.http.call(request, limit).await?;
+    /// Calls the store and records the epoch of its response; rejects a response from an
+    /// earlier epoch.
+    async fn call(&self, request: Request<CallBody>, timeout: Duration) -> Result<Response<Bytes>> {
+        let response = self.http.call(request, timeout).await?;
         let epoch = to_epoch(&response)?;
         self.epoch.send_if_modified(|known| {
             let is_new = *known < epoch;
@@ -80,22 +80,22 @@
         Ok(response)
     }
 
-    /// Reads an object, none where it is not there.
+    /// Reads an object, `None` if it does not exist.
     ///
     /// # Errors
     ///
-    /// The store does not answer or refuses.
+    /// Returns an error if the store does not respond or responds with an error status.
     pub async fn get(&self, name: &str) -> Result<Option<StoredObject>> {
         let request = self.request(Method::GET, name, "", Bytes::new(), HeaderMap::new());
-        let response = self.call(request, CALL_LIMIT).await?;
-        from_read(&response)
+        let response = self.call(request, CALL_TIMEOUT).await?;
+        parse_stored_object(&response)
     }
 
-    /// Waits for a version above `after`; none where none came in time.
+    /// Waits up to `wait` for a version above `after`, `None` if none is written in that time.
     ///
     /// # Errors
     ///
-    /// The store does not answer or refuses.
+    /// Returns an error if the store does not respond or responds with an error status.
     pub async fn watch(
         &self,
         name: &str,
@@ -104,21 +104,20 @@
     ) -> Result<Option<StoredObject>> {
         let query = format!("?after={after}&wait_ms={}", wait.as_millis());
         let request = self.request(Method::GET, name, &query, Bytes::new(), HeaderMap::new());
-        let response = self.call(request, wait + CALL_LIMIT).await?;
+        let response = self.call(request, wait + CALL_TIMEOUT).await?;
         if response.status() == StatusCode::NOT_MODIFIED {
             return Ok(None);
         }
-        from_read(&response)
+        parse_stored_object(&response)
     }
 
-    /// Writes an object where its version still is `expected`, and returns
-    /// the new version.
+    /// Writes an object if its version is still `expected`, and returns the new version.
     ///
     /// # Errors
     ///
-    /// [`Error::is_conflict`] where another version is stored. An error that
-    /// [`Error::is_unreachable`] leaves open whether the write took effect:
-    /// read back to find out.
+    /// Returns an error with [`Error::is_conflict`] if another version is stored. After an
+    /// error with [`Error::is_unreachable`] it is unknown whether the write took effect: read
+    /// the object back to find out.
     pub async fn put(
         &self,
         name: &str,
@@ -132,14 +131,14 @@
             headers.insert(IF_MATCH, hyper::header::HeaderValue::from(expected));
         }
         let request = self.request(Method::PUT, name, "", content, headers);
-        let response = self.call(request, CALL_LIMIT).await?;
+        let response = self.call(request, CALL_TIMEOUT).await?;
         let version = to_version(&response);
         match response.status() {
             StatusCode::OK | StatusCode::CREATED => Ok(version),
             StatusCode::PRECONDITION_FAILED => {
                 Err(Error::from_code(ErrorCode::Conflict { found: version }))
             }
-            _ => Err(refused(&response)),
+            _ => Err(to_status_error(&response)),
         }
     }
 
@@ -153,7 +152,7 @@
     ) -> Request<CallBody> {
         let mut request = Request::new(full(content));
         *request.method_mut() = method;
-        // Names of objects are made here, of letters, digits, `/` and `-`.
+        // Object names are generated by this crate and contain only letters, digits, `/` and `-`.
         let uri = format!("http://{}/objects/{name}{query}", self.address);
         *request.uri_mut() = uri.parse().unwrap_or_default();
         *request.headers_mut() = headers;
@@ -161,7 +160,7 @@
     }
 }
 
-fn from_read(response: &Response<Bytes>) -> Result<Option<StoredObject>> {
+fn parse_stored_object(response: &Response<Bytes>) -> Result<Option<StoredObject>> {
     match response.status() {
         StatusCode::OK => {
             let version = to_version(response);
@@ -169,11 +168,11 @@
             Ok(Some(StoredObject { epoch, version, content: response.body().clone() }))
         }
         StatusCode::NOT_FOUND => Ok(None),
-        _ => Err(refused(response)),
+        _ => Err(to_status_error(response)),
     }
 }
 
-/// The epoch that an answer names, zero where it names none.
+/// Returns the epoch in a response, zero if it has none.
 fn to_epoch(response: &Response<Bytes>) -> Result<u64> {
     let Some(value) = response.headers().get(STORE_EPOCH) else { return Ok(0) };
     let number = value.to_str().ok().and_then(|text| text.parse().ok());
@@ -181,12 +180,12 @@
 }
 
 fn to_version(response: &Response<Bytes>) -> ObjectVersion {
-    let tag = response.headers().get(ETAG).and_then(|tag| tag.to_str().ok());
-    tag.and_then(|tag| tag.trim_matches('"').parse().ok()).unwrap_or(0)
+    let etag = response.headers().get(ETAG).and_then(|etag| etag.to_str().ok());
+    etag.and_then(|etag| etag.trim_matches('"').parse().ok()).unwrap_or(0)
 }
 
 #[cold]
-fn refused(response: &Response<Bytes>) -> Error {
+fn to_status_error(response: &Response<Bytes>) -> Error {
     let status = response.status().as_u16();
     let text = String::from_utf8_lossy(response.body()).into_owned();
     Error::from_code(ErrorCode::Status { status, text })
