--- a/src/log.rs
+++ b/src/log.rs
@@ -1,4 +1,4 @@
-//! Logs of the daemons.
+//! Loggers of the daemons.
 
 use std::io;
 use std::str::FromStr;
@@ -6,14 +6,14 @@
 
 use slog::{Drain, Logger, o};
 
-/// Form of a log.
+/// Format of a log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogFormat {
-    /// For reading.
+    /// Plain text.
     Human,
-    /// A JSON object a line.
+    /// One JSON object per line.
     Json,
-    /// Nothing at all, for tests.
+    /// No output, for tests.
     Off,
 }
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// Makes the root logger of a process. Lines go to standard error.
+/// Creates the root logger of a process, which writes to standard error.
 pub fn new_logger(format: LogFormat, process: &str) -> Logger {
     let values = o!("process" => process.to_owned());
     match format {
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -8,74 +8,80 @@
     TextEncoder,
 };
 
-/// Buckets of a time to the first token, in seconds.
+/// Histogram buckets of the time to the first token, in seconds.
 const FIRST_TOKEN_BUCKETS: [f64; 12] =
     [0.025, 0.05, 0.1, 0.2, 0.42, 0.7, 1.0, 2.0, 5.0, 15.0, 60.0, 300.0];
 
-/// A registry, and what is read out at its next scrape.
+/// A registry of metrics, which a scrape reads.
 #[derive(Debug, Default)]
 pub(crate) struct MetricsPage {
     registry: Registry,
 }
 
-/// A counter that follows a count kept elsewhere.
+/// A counter that mirrors a total which is counted elsewhere.
 #[derive(Debug)]
 pub(crate) struct CountMirror(IntCounter);
 
 impl CountMirror {
-    pub(crate) fn follow(&self, count: u64) {
-        self.0.inc_by(count.saturating_sub(self.0.get()));
+    /// Raises the counter to `total`; a lower total has no effect.
+    pub(crate) fn follow(&self, total: u64) {
+        self.0.inc_by(total.saturating_sub(self.0.get()));
     }
 }
 
 impl MetricsPage {
+    /// Registers a counter that mirrors a total.
     pub(crate) fn add_count(&self, name: &str, help: &str) -> CountMirror {
         CountMirror(match IntCounter::new(name, help) {
             Ok(counter) => {
-                self.add(counter.clone());
+                self.register(counter.clone());
                 counter
             }
             Err(error) => unreachable!("metric {name}: {error}"),
         })
     }
 
-    /// Counters of one kind, told apart by a label with few values.
+    /// Registers a counter for each value of a label, which must have few values.
     pub(crate) fn add_counts(&self, name: &str, help: &str, label: &str) -> IntCounterVec {
         match IntCounterVec::new(Opts::new(name, help), &[label]) {
             Ok(counters) => {
-                self.add(counters.clone());
+                self.register(counters.clone());
                 counters
             }
             Err(error) => unreachable!("metric {name}: {error}"),
         }
     }
 
+    /// Registers a gauge.
     pub(crate) fn add_gauge(&self, name: &str, help: &str) -> IntGauge {
         match IntGauge::new(name, help) {
             Ok(gauge) => {
-                self.add(gauge.clone());
+                self.register(gauge.clone());
                 gauge
             }
             Err(error) => unreachable!("metric {name}: {error}"),
         }
     }
 
+    /// Registers a histogram of the time to the first token by class of the prompt's length.
     pub(crate) fn add_first_token(&self, name: &str, help: &str) -> HistogramVec {
         let options = HistogramOpts::new(name, help).buckets(FIRST_TOKEN_BUCKETS.to_vec());
         match HistogramVec::new(options, &["length_class"]) {
             Ok(histogram) => {
-                self.add(histogram.clone());
+                self.register(histogram.clone());
                 histogram
             }
             Err(error) => unreachable!("metric {name}: {error}"),
         }
     }
 
-    fn add(&self, collector: impl prometheus::core::Collector + 'static) {
-        // A name stands once in a registry that is built in one place.
+    fn register(&self, collector: impl prometheus::core::Collector + 'static) {
+        // Registration fails only for a duplicate name. Each registry is built in one place,
+        // so its names are unique.
         let _ = self.registry.register(Box::new(collector));
     }
 
+    /// Encodes all metrics in the Prometheus text format.
     pub(crate) fn to_text(&self) -> Vec<u8> {
         let mut text = Vec::new();
         let _ = TextEncoder::new().encode(&self.registry.gather(), &mut text);
@@ -83,34 +89,34 @@
     }
 }
 
-/// Longest turn of a process's one loop.
+/// Measures the longest iteration of the event loop of a process.
 #[derive(Debug, Default)]
 pub struct TurnMeter {
     longest: Cell<Duration>,
 }
 
 impl TurnMeter {
-    /// Runs one turn and notes how long it took.
-    pub fn measure<T>(&self, turn: impl FnOnce() -> T) -> T {
+    /// Runs one iteration and records its duration.
+    pub fn measure<T>(&self, iteration: impl FnOnce() -> T) -> T {
         let start = Instant::now();
-        let result = turn();
+        let result = iteration();
         self.note(start.elapsed());
         result
     }
 
-    /// Notes how long a turn took.
-    pub fn note(&self, span: Duration) {
-        self.longest.set(self.longest.get().max(span));
+    /// Records the duration of an iteration.
+    pub fn note(&self, duration: Duration) {
+        self.longest.set(self.longest.get().max(duration));
     }
 
-    /// The longest turn so far.
+    /// Returns the longest duration recorded so far.
     #[must_use]
     pub fn longest(&self) -> Duration {
         self.longest.get()
     }
 }
 
-/// Class of a prompt by its length, for metrics.
+/// Returns the metrics label for the length of a prompt in tokens.
 #[must_use]
 pub fn length_class(tokens: u64) -> &'static str {
     match tokens {
--- a/src/program.rs
+++ b/src/program.rs
@@ -1,4 +1,4 @@
-//! What the programs share: settings, one thread, one runtime, and signals.
+//! Entry point of the programs: settings, a single-threaded runtime, and signals.
 
 use std::future::Future;
 use std::process::ExitCode;
@@ -9,36 +9,37 @@
 use crate::error::Result;
 use crate::settings::{EnvLookup, Invocation, process_env};
 
-/// Exit code where the settings are not right.
-const BAD_SETTINGS: u8 = 2;
+/// Exit code of a program with invalid settings.
+const INVALID_SETTINGS_EXIT_CODE: u8 = 2;
 
-/// Reads a program's settings and does its work on one thread.
+/// Parses a program's settings from its arguments and environment, and runs it on a
+/// single-threaded runtime.
 pub fn run_program<T, W>(
     name: &str,
-    read: impl FnOnce(&[String], EnvLookup<'_>) -> Result<Invocation<T>>,
-    work: impl FnOnce(T) -> W,
+    parse: impl FnOnce(&[String], EnvLookup<'_>) -> Result<Invocation<T>>,
+    run: impl FnOnce(T) -> W,
 ) -> ExitCode
 where
     W: Future<Output = Result<()>>,
 {
     let args: Vec<String> = std::env::args().skip(1).collect();
-    match read(&args, &process_env) {
-        Ok(Invocation::Run(settings)) => run_work(name, work(settings)),
+    match parse(&args, &process_env) {
+        Ok(Invocation::Run(settings)) => block_on(name, run(settings)),
         Ok(Invocation::Print(text)) => {
             print!("{text}");
             ExitCode::SUCCESS
         }
         Err(error) => {
             eprintln!("{name}: {error}");
-            ExitCode::from(BAD_SETTINGS)
+            ExitCode::from(INVALID_SETTINGS_EXIT_CODE)
         }
     }
 }
 
-fn run_work(name: &str, work: impl Future<Output = Result<()>>) -> ExitCode {
+fn block_on(name: &str, run: impl Future<Output = Result<()>>) -> ExitCode {
     let runtime = Builder::new_current_thread().enable_all().build();
     let result = match runtime {
-        Ok(runtime) => runtime.block_on(work),
+        Ok(runtime) => runtime.block_on(run),
         Err(error) => Err(error.into()),
     };
     match result {
@@ -50,7 +51,7 @@
     }
 }
 
-/// Ends when the process is asked to stop by SIGTERM or SIGINT.
+/// Waits until the process receives SIGTERM or SIGINT.
 pub async fn wait_for_stop() {
     let term = signal(SignalKind::terminate());
     let interrupt = signal(SignalKind::interrupt());
@@ -63,7 +64,7 @@
     }
 }
 
-/// Calls `reload` each time the process is told that its settings changed.
+/// Calls `reload` each time the process receives SIGHUP.
 pub async fn on_reload_signal(mut reload: impl FnMut()) {
     let Ok(mut hangup) = signal(SignalKind::hangup()) else {
         return std::future::pending().await;
--- a/src/web.rs
+++ b/src/web.rs
@@ -1,4 +1,4 @@
-//! What the callers' and the operators' HTTP servers share.
+//! Responses, request bodies and connections of the HTTP servers.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -19,32 +19,32 @@
 
 use crate::verdict::Verdict;
 
-/// Header that carries the verdict of an answer.
+/// Header with the verdict on whether the request ran.
 pub const VERDICT_HEADER: &str = "shalelane-verdict";
 
-/// Header that carries the request's id.
+/// Header with the id of the request.
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
 
-/// Longest time for the head of a request to arrive.
-const HEAD_LIMIT: Duration = Duration::from_secs(10);
+/// Timeout for the header section of a request to arrive.
+const HEADER_READ_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Wait after a connection that could not be accepted.
-const ACCEPT_STEP: Duration = Duration::from_millis(20);
+/// Delay after a failed accept of a connection.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Largest head of a request, in bytes.
-const MAX_HEAD: usize = 32 * 1024;
+/// Maximum size of the header section of a request, in bytes.
+const MAX_HEADER_BYTES: usize = 32 * 1024;
 
-/// Most headers of a request.
+/// Maximum number of headers of a request.
 const MAX_HEADERS: usize = 64;
 
-/// Body of an answer: whole, or in parts as they come.
+/// Body of a response: buffered, or streamed in chunks.
 pub(crate) enum AnswerBody {
     Whole(Full<Bytes>),
     Parts(PartStream),
 }
 
-/// Parts of an answer, and a value that is dropped with the body, so that a
-/// caller's going away is noticed.
+/// Chunks of a response body, and a guard that is dropped with the body: the drop shows that the
+/// caller disconnected.
 pub(crate) struct PartStream {
     pub(crate) parts: mpsc::UnboundedReceiver<Bytes>,
     pub(crate) _guard: Box<dyn std::any::Any>,
@@ -61,7 +61,7 @@
         match self.get_mut() {
             AnswerBody::Whole(body) => Pin::new(body).poll_frame(context),
             AnswerBody::Parts(stream) => {
-                stream.parts.poll_recv(context).map(|part| part.map(|part| Ok(Frame::data(part))))
+                stream.parts.poll_recv(context).map(|data| data.map(|data| Ok(Frame::data(data))))
             }
         }
     }
@@ -74,9 +74,10 @@
     }
 }
 
+/// Response of an HTTP server.
 pub(crate) type Answer = Response<AnswerBody>;
 
-/// A whole answer.
+/// Creates a response with a buffered body.
 pub(crate) fn answer(status: StatusCode, content_type: &str, body: impl Into<Bytes>) -> Answer {
     let mut response = Response::new(AnswerBody::Whole(Full::new(body.into())));
     *response.status_mut() = status;
@@ -86,20 +87,20 @@
     response
 }
 
-/// A whole answer in JSON.
+/// Creates a response with a JSON body.
 pub(crate) fn answer_json<T: Serialize>(status: StatusCode, value: &T) -> Answer {
     let body = serde_json::to_vec(value).unwrap_or_default();
     answer(status, "application/json", body)
 }
 
-/// The body of a failure.
+/// JSON body of an error response.
 #[derive(Serialize)]
 pub(crate) struct FaultBody<'a> {
-    error: FaultDetail<'a>,
+    error: ErrorDetail<'a>,
 }
 
 #[derive(Serialize)]
-struct FaultDetail<'a> {
+struct ErrorDetail<'a> {
     code: &'a str,
     message: &'a str,
     verdict: String,
@@ -114,11 +115,11 @@
         request_id: &'a str,
     ) -> Self {
         let verdict = verdict.to_string();
-        FaultBody { error: FaultDetail { code, message, verdict, request_id } }
+        FaultBody { error: ErrorDetail { code, message, verdict, request_id } }
     }
 }
 
-/// The answer of a request that failed.
+/// Creates an error response; `retry_after` is rounded up to whole seconds.
 pub(crate) fn answer_fault(
     status: StatusCode,
     code: &str,
@@ -129,13 +130,14 @@
 ) -> Answer {
     let mut response = answer_json(status, &FaultBody::new(code, message, verdict, request_id));
     set_verdict(response.headers_mut(), verdict, request_id);
-    if let Some(span) = retry_after {
-        let seconds = span.as_millis().div_ceil(1000).max(1) as u64;
+    if let Some(delay) = retry_after {
+        let seconds = delay.as_millis().div_ceil(1000).max(1) as u64;
         response.headers_mut().insert(RETRY_AFTER, HeaderValue::from(seconds));
     }
     response
 }
 
+/// Sets the headers with the verdict and the request id.
 pub(crate) fn set_verdict(headers: &mut HeaderMap, verdict: Verdict, request_id: &str) {
     let values =
         [(VERDICT_HEADER, verdict.to_string()), (REQUEST_ID_HEADER, request_id.to_owned())];
@@ -146,13 +148,13 @@
     }
 }
 
-/// The secret of an `Authorization: Bearer` header.
+/// Returns the token of an `Authorization: Bearer` header.
 pub(crate) fn bearer(headers: &HeaderMap) -> Option<&str> {
     let value = headers.get(hyper::header::AUTHORIZATION)?.to_str().ok()?;
     value.strip_prefix("Bearer ").map(str::trim)
 }
 
-/// Why a body was not read.
+/// Reason that a body could not be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum BodyFault {
     TooLarge,
@@ -160,40 +162,40 @@
     Broken,
 }
 
-/// Reads a body whole, within bounds.
+/// Reads a whole body of up to `max_bytes` bytes within `timeout`.
 pub(crate) async fn read_body(
     mut body: Incoming,
-    max: usize,
-    limit: Duration,
+    max_bytes: usize,
+    timeout: Duration,
 ) -> Result<Bytes, BodyFault> {
-    let announced = body.size_hint().lower() as usize;
-    if announced > max {
+    let expected_bytes = body.size_hint().lower() as usize;
+    if expected_bytes > max_bytes {
         return Err(BodyFault::TooLarge);
     }
-    let work = async {
-        let mut whole = BytesMut::with_capacity(announced);
+    let read = async {
+        let mut buffer = BytesMut::with_capacity(expected_bytes);
         while let Some(frame) = body.frame().await {
             let frame = frame.map_err(|_| BodyFault::Broken)?;
-            let Ok(part) = frame.into_data() else {
+            let Ok(chunk) = frame.into_data() else {
                 continue;
             };
-            if whole.len() + part.len() > max {
+            if buffer.len() + chunk.len() > max_bytes {
                 return Err(BodyFault::TooLarge);
             }
-            whole.extend_from_slice(&part);
+            buffer.extend_from_slice(&chunk);
         }
-        Ok(whole.freeze())
+        Ok(buffer.freeze())
     };
-    tokio::time::timeout(limit, work).await.unwrap_or(Err(BodyFault::TooSlow))
+    tokio::time::timeout(timeout, read).await.unwrap_or(Err(BodyFault::TooSlow))
 }
 
-/// Accepts the next connection. A failure, as when the process has no more
-/// descriptors, passes with time.
+/// Accepts the next connection. Retries after a failure, since causes such as a lack of file
+/// descriptors are temporary.
 pub(crate) async fn accept_next(listener: &TcpListener) -> TcpStream {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => return stream,
-            Err(_) => tokio::time::sleep(ACCEPT_STEP).await,
+            Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
@@ -208,11 +210,11 @@
     let handle = &handle;
     let service =
         service_fn(move |request| async move { Ok::<_, Infallible>(handle(request).await) });
-    // How a connection ends is the caller's affair; its requests have answers.
+    // A connection error is ignored: the outcome of each request is handled on its own.
     let _ = hyper::server::conn::http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(HEAD_LIMIT)
-        .max_buf_size(MAX_HEAD)
+        .header_read_timeout(HEADER_READ_TIMEOUT)
+        .max_buf_size(MAX_HEADER_BYTES)
         .max_headers(MAX_HEADERS)
         .serve_connection(TokioIo::new(stream), service)
         .await;
