--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,4 +1,4 @@
-//! The operators' command line, on the administration API.
+//! Command line of the operators, a client of the administration API.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -20,14 +20,14 @@
 use crate::settings::{EnvLookup, Invocation, to_help, to_version};
 use crate::timeline::EventRecord;
 
-/// Longest time of a call.
-const CALL_LIMIT: Duration = Duration::from_secs(10);
+/// Timeout of a call to the administration API.
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Variable of the address where no flag gives it.
+/// Environment variable with the address of an entry, for use without `--admin`.
 const ADMIN_VARIABLE: &str = "SHALELANE_ADMIN";
 
-/// Variable of the operators' key. There is no flag for it: flags show in
-/// process lists.
+/// Environment variable with the operators' key. There is no flag for the key because flags are
+/// visible in process lists.
 const KEY_VARIABLE: &str = "SHALELANE_ADMIN_KEY";
 
 #[derive(Debug, Options)]
@@ -46,17 +46,17 @@
 
 #[derive(Debug, Options)]
 enum CliCommand {
-    #[options(help = "check a configuration file, without any server")]
+    #[options(help = "validate a configuration file, without any server")]
     Check(FileFlags),
     #[options(help = "make a configuration file the accepted configuration")]
     Apply(ApplyFlags),
     #[options(help = "show how a configuration file differs from the accepted one")]
     Diff(FileFlags),
-    #[options(help = "show the entries, and which configuration is in force at each")]
+    #[options(help = "show the entries and the configuration version in force at each")]
     Status(NoFlags),
-    #[options(help = "show why a request went where it did, waited or was refused")]
+    #[options(help = "show why a request was placed on its target, waited or was refused")]
     Why(WhyFlags),
-    #[options(help = "show events over all entries in order")]
+    #[options(help = "show the events of all entries in order")]
     Timeline(TimelineFlags),
 }
 
@@ -78,9 +78,9 @@
 struct ApplyFlags {
     #[options(help = "print this help")]
     help: bool,
-    #[options(help = "only check it at the entry", no_short)]
+    #[options(help = "only validate the file at the entry", no_short)]
     dry_run: bool,
-    #[options(help = "version that the change is based on [the one in force]", no_short)]
+    #[options(help = "version that the change is based on [the version in force]", no_short)]
     base: Option<u64>,
     #[options(free, required, help = "configuration in TOML")]
     file: String,
@@ -98,11 +98,11 @@
 struct TimelineFlags {
     #[options(help = "print this help")]
     help: bool,
-    #[options(help = "only events of this request", no_short, meta = "ID")]
+    #[options(help = "show only events of this request", no_short, meta = "ID")]
     request: Option<String>,
 }
 
-/// What a command line asks for.
+/// A parsed command line.
 #[derive(Debug)]
 pub struct CliRequest {
     admin: Option<String>,
@@ -112,11 +112,11 @@
 }
 
 impl CliRequest {
-    /// Reads arguments and environment.
+    /// Parses arguments and environment.
     ///
     /// # Errors
     ///
-    /// An unknown flag or command, or one that is missing.
+    /// Returns an error for an unknown flag or command, and for a missing one.
     pub fn from_args(args: &[String], env: EnvLookup<'_>) -> Result<Invocation<Self>> {
         let flags = CliFlags::parse_args_default(args)
             .map_err(|error| Error::settings(error.to_string()))?;
@@ -127,7 +127,7 @@
             return Ok(Invocation::Print(to_version("shalelane")));
         }
         let Some(command) = flags.command else {
-            return Err(Error::settings(format!("no command is given\n\n{}", to_usage())));
+            return Err(Error::settings(format!("no command given\n\n{}", to_usage())));
         };
         if command.help_requested() {
             let usage = command.self_usage();
@@ -138,11 +138,12 @@
         Ok(Invocation::Run(CliRequest { admin, key, json: flags.json, command }))
     }
 
-    /// Does what is asked and returns the text to print.
+    /// Runs the command and returns the text to print.
     ///
     /// # Errors
     ///
-    /// A file that can not be read, a refusal, or an entry that does not answer.
+    /// Returns an error if a file cannot be read or is invalid, if an entry refuses the call, or
+    /// if it does not respond.
     pub async fn run(&self) -> Result<String> {
         match &self.command {
             CliCommand::Check(flags) => check(&flags.file),
@@ -155,16 +156,18 @@
     }
 
     fn client(&self) -> Result<AdminClient> {
-        let missing = |what: &str| Error::settings(format!("{what} is missing"));
-        let admin = self.admin.clone().ok_or_else(|| missing("--admin (SHALELANE_ADMIN)"))?;
-        let key = self.key.clone().ok_or_else(|| missing(KEY_VARIABLE))?;
+        let missing_setting = |setting: &str| Error::settings(format!("{setting} is missing"));
+        let admin =
+            self.admin.clone().ok_or_else(|| missing_setting("--admin (SHALELANE_ADMIN)"))?;
+        let key = self.key.clone().ok_or_else(|| missing_setting(KEY_VARIABLE))?;
         Ok(AdminClient { address: admin.into(), key: key.into(), http: HttpClient::new(1) })
     }
 
     async fn apply(&self, flags: &ApplyFlags) -> Result<String> {
         let text = read_file(&flags.file)?;
-        // Faults are told with their place before anything is sent.
-        Config::from_toml(&text).map_err(|error| in_file(&flags.file, &error))?;
+        // Validates the file locally first, so that errors are reported with their position
+        // before anything is sent.
+        Config::from_toml(&text).map_err(|error| with_file(&flags.file, &error))?;
         let client = self.client()?;
         let current = client.get_config().await?;
         let base = flags.base.map_or(current.version, ConfigVersion);
@@ -172,9 +175,11 @@
             Ok(applied) if applied.dry_run => Ok("accepted, in a dry run only\n".to_owned()),
             Ok(applied) => Ok(format!("accepted as version {}\n", applied.version)),
             Err(error) if error.is_conflict() => {
-                let now = client.get_config().await?;
-                let diff = ConfigDiff::between(&now, &Config::from_toml(&read_file(&flags.file)?)?);
-                let text = format!("{error}\nthis file against version {}:\n{diff}", now.version);
+                let latest = client.get_config().await?;
+                let diff =
+                    ConfigDiff::between(&latest, &Config::from_toml(&read_file(&flags.file)?)?);
+                let text =
+                    format!("{error}\nthis file against version {}:\n{diff}", latest.version);
                 Err(Error::config(None, text))
             }
             Err(error) => Err(error),
@@ -182,7 +187,8 @@
     }
 
     async fn diff(&self, file: &str) -> Result<String> {
-        let config = Config::from_toml(&read_file(file)?).map_err(|error| in_file(file, &error))?;
+        let config =
+            Config::from_toml(&read_file(file)?).map_err(|error| with_file(file, &error))?;
         let current = self.client()?.get_config().await?;
         let diff = ConfigDiff::between(&current, &config);
         if diff.is_empty() {
@@ -201,11 +207,11 @@
             );
         }
         for (name, address) in entries {
-            let status = client.at(address).get::<EntryStatus>("/admin/v1/status").await;
+            let status = client.with_address(address).get::<EntryStatus>("/admin/v1/status").await;
             let line = match status {
                 Ok(status) if self.json => serde_json::to_string(&status).unwrap_or_default(),
                 Ok(status) => to_status_line(&status),
-                Err(error) => format!("{name:<30} away: {error}"),
+                Err(error) => format!("{name:<30} no response: {error}"),
             };
             let _ = writeln!(text, "{line}");
         }
@@ -214,13 +220,13 @@
 
     async fn why(&self, request: &str) -> Result<String> {
         let path = format!("/admin/v1/why/{request}");
-        let log: DecisionLog = self.client()?.get(&path).await?;
+        let decisions: DecisionLog = self.client()?.get(&path).await?;
         if self.json {
-            return Ok(serde_json::to_string(&log).unwrap_or_default() + "\n");
+            return Ok(serde_json::to_string(&decisions).unwrap_or_default() + "\n");
         }
         let mut text = format!("request {request}\n");
-        for timed in &log.steps {
-            let _ = writeln!(text, "{:>10.1} ms  {}", timed.at_ms, timed.step);
+        for timed_step in &decisions.steps {
+            let _ = writeln!(text, "{:>10.1} ms  {}", timed_step.at_ms, timed_step.step);
         }
         Ok(text)
     }
@@ -232,10 +238,11 @@
         let mut records: Vec<EventRecord> = Vec::new();
         let mut text = String::new();
         for (name, address) in entries {
-            match client.at(address).get::<Vec<EventRecord>>(&path).await {
-                Ok(more) => records.extend(more),
+            match client.with_address(address).get::<Vec<EventRecord>>(&path).await {
+                Ok(entry_records) => records.extend(entry_records),
                 Err(error) => {
-                    let _ = writeln!(text, "{name} is away, its events are missing: {error}");
+                    let _ =
+                        writeln!(text, "no response from {name}, its events are missing: {error}");
                 }
             }
         }
@@ -253,6 +260,7 @@
     }
 }
 
+/// Returns the help text with the list of commands.
 fn to_usage() -> String {
     let commands = CliFlags::command_list().unwrap_or_default();
     format!("{}\nCommands:\n{commands}\n", to_help::<CliFlags>("shalelane"))
@@ -277,7 +285,7 @@
 }
 
 fn check(file: &str) -> Result<String> {
-    let config = Config::from_toml(&read_file(file)?).map_err(|error| in_file(file, &error))?;
+    let config = Config::from_toml(&read_file(file)?).map_err(|error| with_file(file, &error))?;
     Ok(format!(
         "{file} is good: {} services, {} models, {} templates, {} client accounts\n",
         config.services.len(),
@@ -289,18 +297,19 @@
 
 fn read_file(file: &str) -> Result<String> {
     std::fs::read_to_string(file)
-        .map_err(|error| Error::config(None, format!("{file} can not be read: {error}")))
+        .map_err(|error| Error::config(None, format!("{file} cannot be read: {error}")))
 }
 
-/// Puts the name of a file before a fault in it, as editors read it.
-fn in_file(file: &str, error: &Error) -> Error {
-    let place = match (error.line(), error.column()) {
+/// Prefixes an error with file, line and column, in the form that editors recognize.
+fn with_file(file: &str, error: &Error) -> Error {
+    let location = match (error.line(), error.column()) {
         (Some(line), Some(column)) => format!("{file}:{line}:{column}"),
         _ => file.to_owned(),
     };
-    Error::config(None, format!("{place}: {error}"))
+    Error::config(None, format!("{location}: {error}"))
 }
 
+/// Client of the administration API of one entry.
 #[derive(Clone, Debug)]
 struct AdminClient {
     address: Arc<str>,
@@ -309,7 +318,8 @@
 }
 
 impl AdminClient {
-    fn at(&self, address: Arc<str>) -> Self {
+    /// Returns a client of the entry at `address`, with the same key.
+    fn with_address(&self, address: Arc<str>) -> Self {
         AdminClient { address, ..self.clone() }
     }
 
@@ -324,14 +334,14 @@
         *request.method_mut() = method;
         let uri = format!("http://{}{path}", self.address);
         *request.uri_mut() =
-            uri.parse().map_err(|_| Error::settings(format!("{uri} is no address")))?;
+            uri.parse().map_err(|_| Error::settings(format!("{uri} is not a valid address")))?;
         let key = HeaderValue::from_str(&format!("Bearer {}", self.key))
-            .map_err(|_| Error::settings(format!("{KEY_VARIABLE} can not be sent")))?;
+            .map_err(|_| Error::settings(format!("{KEY_VARIABLE} is not a valid header value")))?;
         request.headers_mut().insert(AUTHORIZATION, key);
         if let Some(version) = base {
             request.headers_mut().insert(IF_MATCH, HeaderValue::from(version.0));
         }
-        let response = self.http.call(request, CALL_LIMIT).await?;
+        let response = self.http.call(request, CALL_TIMEOUT).await?;
         if response.status().is_success() {
             return Ok(response);
         }
@@ -345,8 +355,8 @@
 
     async fn get_config(&self) -> Result<Config> {
         let response = self.call(Method::GET, "/admin/v1/config", None, "").await?;
-        let tag = response.headers().get(ETAG).and_then(|tag| tag.to_str().ok());
-        let version = tag.and_then(|tag| tag.trim_matches('"').parse().ok()).unwrap_or(0);
+        let etag = response.headers().get(ETAG).and_then(|etag| etag.to_str().ok());
+        let version = etag.and_then(|etag| etag.trim_matches('"').parse().ok()).unwrap_or(0);
         let config: Config = serde_json::from_slice(response.body()).map_err(Error::unreachable)?;
         Ok(Config { version: ConfigVersion(version), ..config })
     }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,6 +1,6 @@
-//! Settings of the daemons: flags, and an environment variable for each.
+//! Settings of the daemons: flags, and an environment variable for each flag.
 //!
-//! A flag wins over its variable. Everything is checked at start; an error
+//! A flag takes precedence over its variable. All settings are validated at start; an error
 //! names the flag and the variable.
 
 use std::net::SocketAddr;
@@ -14,11 +14,11 @@
 use crate::error::{Error, Result};
 use crate::log::LogFormat;
 
-/// Prefix of every variable.
+/// Prefix of every environment variable.
 const PREFIX: &str = "SHALELANE_";
 
-/// Shortest shared key that is accepted.
-const MIN_KEY: usize = 16;
+/// Minimum length of the shared key, in bytes.
+const MIN_KEY_LENGTH: usize = 16;
 
 #[derive(Debug, Default, Options)]
 struct EntryFlags {
@@ -44,13 +44,13 @@
     admin_key_sha256: Option<String>,
     #[options(help = "human or json [human]", no_short, meta = "FORMAT")]
     log_format: Option<String>,
-    #[options(help = "largest body of a caller, in bytes [16777216]", no_short, meta = "N")]
+    #[options(help = "maximum size of a request body, in bytes [16777216]", no_short, meta = "N")]
     max_body_bytes: Option<String>,
-    #[options(help = "longest time for a body to arrive, in ms [30000]", no_short, meta = "N")]
+    #[options(help = "timeout for a request body to arrive, in ms [30000]", no_short, meta = "N")]
     body_limit_ms: Option<String>,
-    #[options(help = "most callers' connections [4096]", no_short, meta = "N")]
+    #[options(help = "maximum number of callers' connections [4096]", no_short, meta = "N")]
     max_connections: Option<String>,
-    #[options(help = "longest planned stop, in ms [900000]", no_short, meta = "N")]
+    #[options(help = "maximum duration of a drain, in ms [900000]", no_short, meta = "N")]
     drain_limit_ms: Option<String>,
 }
 
@@ -66,7 +66,7 @@
     listen: Option<String>,
     #[options(help = "address for metrics [127.0.0.1:8091]", no_short, meta = "IP:PORT")]
     metrics_listen: Option<String>,
-    #[options(help = "address of the target beside it", no_short, meta = "IP:PORT")]
+    #[options(help = "address of the target of this agent", no_short, meta = "IP:PORT")]
     target: Option<String>,
     #[options(help = "engine or plain [engine]", no_short, meta = "KIND")]
     kind: Option<String>,
@@ -74,20 +74,24 @@
     peer_key: Option<String>,
     #[options(help = "human or json [human]", no_short, meta = "FORMAT")]
     log_format: Option<String>,
-    #[options(help = "prefill that goes in one piece, in tokens [8192]", no_short, meta = "N")]
+    #[options(help = "maximum prefill in one piece, in tokens [8192]", no_short, meta = "N")]
     piece_tokens: Option<String>,
-    #[options(help = "prefill at the engine at a time, in tokens [16384]", no_short, meta = "N")]
+    #[options(
+        help = "maximum prefill at the engine at a time, in tokens [16384]",
+        no_short,
+        meta = "N"
+    )]
     prefill_tokens: Option<String>,
-    #[options(help = "longest planned stop, in ms [900000]", no_short, meta = "N")]
+    #[options(help = "maximum duration of a drain, in ms [900000]", no_short, meta = "N")]
     drain_limit_ms: Option<String>,
 }
 
 /// Settings of an entry.
 #[derive(Clone, Debug)]
 pub struct EntrySettings {
-    /// Name of the process.
+    /// Name of the process, unique in the fleet.
     pub name: Arc<str>,
-    /// Failure domain of its host.
+    /// Failure domain of the host.
     pub failure_domain: Arc<str>,
     /// Address for callers.
     pub listen: SocketAddr,
@@ -97,26 +101,27 @@
     pub store: Arc<str>,
     /// Address of the platform's host list.
     pub hosts: Arc<str>,
-    /// Shared key of the fleet.
+    /// Shared key of the processes of the fleet.
     pub peer_key: Arc<str>,
-    /// Hash of the operators' key; without one the administration API refuses all.
+    /// SHA-256 of the operators' key in hexadecimal; without it the administration API refuses
+    /// all calls.
     pub admin_key_sha256: Option<Arc<str>>,
-    /// Form of the log.
+    /// Format of the log.
     pub log_format: LogFormat,
-    /// Largest body of a caller, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body: usize,
-    /// Longest time for a body to arrive.
+    /// Timeout for a request body to arrive.
     pub body_limit: Duration,
-    /// Most callers' connections.
+    /// Maximum number of connections of callers.
     pub max_connections: usize,
-    /// Longest planned stop.
+    /// Maximum duration of a drain; then the process stops even if requests remain.
     pub drain_limit: Duration,
 }
 
 /// Settings of an agent.
 #[derive(Clone, Debug)]
 pub struct AgentSettings {
-    /// Name of the host.
+    /// Name of the host, unique in the fleet.
     pub name: Arc<str>,
     /// Address for entries.
     pub listen: SocketAddr,
@@ -124,40 +129,40 @@
     pub metrics_listen: SocketAddr,
     /// Address of the target.
     pub target: Arc<str>,
-    /// What the target is.
+    /// Kind of the target.
     pub kind: ServiceKind,
-    /// Shared key of the fleet.
+    /// Shared key of the processes of the fleet.
     pub peer_key: Arc<str>,
-    /// Form of the log.
+    /// Format of the log.
     pub log_format: LogFormat,
-    /// Tokens of prefill in one piece.
+    /// Maximum prefill in one piece, in tokens.
     pub piece_tokens: u64,
-    /// Tokens of prefill at the engine at a time.
+    /// Maximum prefill at the engine at a time, in tokens.
     pub prefill_tokens: u64,
-    /// Longest planned stop.
+    /// Maximum duration of a drain; then the process stops even if requests remain.
     pub drain_limit: Duration,
 }
 
-/// What a program was asked to do.
+/// Outcome of parsing a command line.
 #[derive(Clone, Debug)]
 pub enum Invocation<T> {
     /// Run with these settings.
     Run(T),
-    /// Print this text and end.
+    /// Print this text and exit.
     Print(String),
 }
 
-/// Looks up an environment variable.
+/// Function that looks up an environment variable.
 pub type EnvLookup<'a> = &'a dyn Fn(&str) -> Option<String>;
 
 impl EntrySettings {
-    /// Reads and checks arguments and environment.
+    /// Parses and validates arguments and environment.
     ///
     /// # Errors
     ///
-    /// An unknown flag, or a value that is missing or out of range.
+    /// Returns an error for an unknown flag, and for a missing or invalid value.
     pub fn from_args(args: &[String], env: EnvLookup<'_>) -> Result<Invocation<Self>> {
-        let flags: EntryFlags = parse(args)?;
+        let flags: EntryFlags = parse_flags(args)?;
         if flags.help {
             return Ok(Invocation::Print(to_help::<EntryFlags>("shalelane-entry")));
         }
@@ -180,21 +185,21 @@
                 .map(Arc::from),
             log_format: reader.read("log-format", flags.log_format, Some("human"))?,
             max_body: reader.read("max-body-bytes", flags.max_body_bytes, Some("16777216"))?,
-            body_limit: reader.read_span("body-limit-ms", flags.body_limit_ms, "30000")?,
+            body_limit: reader.read_duration("body-limit-ms", flags.body_limit_ms, "30000")?,
             max_connections: reader.read("max-connections", flags.max_connections, Some("4096"))?,
-            drain_limit: reader.read_span("drain-limit-ms", flags.drain_limit_ms, "900000")?,
+            drain_limit: reader.read_duration("drain-limit-ms", flags.drain_limit_ms, "900000")?,
         }))
     }
 }
 
 impl AgentSettings {
-    /// Reads and checks arguments and environment.
+    /// Parses and validates arguments and environment.
     ///
     /// # Errors
     ///
-    /// An unknown flag, or a value that is missing or out of range.
+    /// Returns an error for an unknown flag, and for a missing or invalid value.
     pub fn from_args(args: &[String], env: EnvLookup<'_>) -> Result<Invocation<Self>> {
-        let flags: AgentFlags = parse(args)?;
+        let flags: AgentFlags = parse_flags(args)?;
         if flags.help {
             return Ok(Invocation::Print(to_help::<AgentFlags>("shalelane-agent")));
         }
@@ -202,7 +207,7 @@
             return Ok(Invocation::Print(to_version("shalelane-agent")));
         }
         let reader = FlagReader { env };
-        let KindSetting(kind) = reader.read("kind", flags.kind, Some("engine"))?;
+        let KindValue(kind) = reader.read("kind", flags.kind, Some("engine"))?;
         Ok(Invocation::Run(AgentSettings {
             name: reader.read_name("name", flags.name)?,
             listen: reader.read("listen", flags.listen, Some("127.0.0.1:8090"))?,
@@ -217,56 +222,62 @@
             log_format: reader.read("log-format", flags.log_format, Some("human"))?,
             piece_tokens: reader.read_count("piece-tokens", flags.piece_tokens, "8192")?,
             prefill_tokens: reader.read_count("prefill-tokens", flags.prefill_tokens, "16384")?,
-            drain_limit: reader.read_span("drain-limit-ms", flags.drain_limit_ms, "900000")?,
+            drain_limit: reader.read_duration("drain-limit-ms", flags.drain_limit_ms, "900000")?,
         }))
     }
 }
 
-/// Reads the value of a variable of the process's environment.
+/// Returns the value of a variable in the environment of the process.
 #[must_use]
 pub fn process_env(name: &str) -> Option<String> {
     std::env::var(name).ok()
 }
 
-fn parse<T: Options>(args: &[String]) -> Result<T> {
+fn parse_flags<T: Options>(args: &[String]) -> Result<T> {
     T::parse_args_default(args).map_err(|error| Error::settings(error.to_string()))
 }
 
+/// Returns the help text of a program.
 pub(crate) fn to_help<T: Options>(program: &str) -> String {
     let usage = T::usage();
     format!(
         "Usage: {program} [OPTIONS]\n\n{usage}\n\nEach option has a variable: --some-flag is \
-         {PREFIX}SOME_FLAG. An option wins over its variable.\n"
+         {PREFIX}SOME_FLAG. An option takes precedence over its variable.\n"
     )
 }
 
+/// Returns the version text of a program.
 pub(crate) fn to_version(program: &str) -> String {
     format!("{program} {}\n", env!("CARGO_PKG_VERSION"))
 }
 
-struct KindSetting(ServiceKind);
+/// Value of the `--kind` flag.
+struct KindValue(ServiceKind);
 
-impl FromStr for KindSetting {
+impl FromStr for KindValue {
     type Err = &'static str;
 
     fn from_str(text: &str) -> std::result::Result<Self, Self::Err> {
         match text {
-            "engine" => Ok(KindSetting(ServiceKind::Engine)),
-            "plain" => Ok(KindSetting(ServiceKind::Plain)),
+            "engine" => Ok(KindValue(ServiceKind::Engine)),
+            "plain" => Ok(KindValue(ServiceKind::Plain)),
             _ => Err("must be engine or plain"),
         }
     }
 }
 
+/// Reads values of flags, falling back to their environment variables.
 struct FlagReader<'a> {
     env: EnvLookup<'a>,
 }
 
 impl FlagReader<'_> {
+    /// Returns the value of a flag or else of its variable.
     fn find(&self, flag: &str, given: Option<String>) -> Option<String> {
         given.or_else(|| (self.env)(&to_variable(flag)))
     }
 
+    /// Reads and parses the value of a flag, of its variable, or else the default.
     fn read<T: FromStr>(
         &self,
         flag: &str,
@@ -276,18 +287,21 @@
     where
         T::Err: std::fmt::Display,
     {
-        let found = self.find(flag, given).or_else(|| default.map(str::to_owned));
-        let Some(text) = found else {
-            return Err(fault(flag, "is missing"));
+        let value = self.find(flag, given).or_else(|| default.map(str::to_owned));
+        let Some(text) = value else {
+            return Err(to_flag_error(flag, "is missing"));
         };
-        text.parse().map_err(|error| fault(flag, &format!("has a bad value `{text}`: {error}")))
+        text.parse()
+            .map_err(|error| to_flag_error(flag, &format!("has a bad value `{text}`: {error}")))
     }
 
+    /// Reads a name of ASCII letters, digits and `-`.
     fn read_name(&self, flag: &str, given: Option<String>) -> Result<Arc<str>> {
         let name: String = self.read(flag, given, None)?;
-        let is_plain = name.bytes().all(|byte| byte.is_ascii_alphanumeric() || byte == b'-');
-        if name.is_empty() || !is_plain {
-            return Err(fault(flag, "must be of letters, digits and `-`"));
+        let has_valid_characters =
+            name.bytes().all(|byte| byte.is_ascii_alphanumeric() || byte == b'-');
+        if name.is_empty() || !has_valid_characters {
+            return Err(to_flag_error(flag, "must be of letters, digits and `-`"));
         }
         Ok(name.into())
     }
@@ -297,32 +311,39 @@
         Ok(address.to_string().into())
     }
 
+    /// Reads a shared key of at least [`MIN_KEY_LENGTH`] bytes.
     fn read_key(&self, flag: &str, given: Option<String>) -> Result<Arc<str>> {
         let key: String = self.read(flag, given, None)?;
-        if key.len() < MIN_KEY {
-            return Err(fault(flag, &format!("must have {MIN_KEY} characters or more")));
+        if key.len() < MIN_KEY_LENGTH {
+            return Err(to_flag_error(
+                flag,
+                &format!("must have {MIN_KEY_LENGTH} characters or more"),
+            ));
         }
         Ok(key.into())
     }
 
-    fn read_span(&self, flag: &str, given: Option<String>, default: &str) -> Result<Duration> {
+    /// Reads a duration in milliseconds.
+    fn read_duration(&self, flag: &str, given: Option<String>, default: &str) -> Result<Duration> {
         self.read(flag, given, Some(default)).map(Duration::from_millis)
     }
 
+    /// Reads a count, which must be above 0.
     fn read_count(&self, flag: &str, given: Option<String>, default: &str) -> Result<u64> {
         let count = self.read(flag, given, Some(default))?;
         if count == 0 {
-            return Err(fault(flag, "must be above 0"));
+            return Err(to_flag_error(flag, "must be above 0"));
         }
         Ok(count)
     }
 }
 
+/// Returns the name of the environment variable of a flag.
 fn to_variable(flag: &str) -> String {
     format!("{PREFIX}{}", flag.to_uppercase().replace('-', "_"))
 }
 
 #[cold]
-fn fault(flag: &str, text: &str) -> Error {
+fn to_flag_error(flag: &str, text: &str) -> Error {
     Error::settings(format!("--{flag} ({}) {text}", to_variable(flag)))
 }
