--- a/src/bin/shalelane-agent.rs
+++ b/src/bin/shalelane-agent.rs
@@ -1,4 +1,4 @@
-//! The agent's program.
+//! Program of the agent.
 
 use std::process::ExitCode;
 
--- a/src/bin/shalelane-entry.rs
+++ b/src/bin/shalelane-entry.rs
@@ -1,4 +1,4 @@
-//! The entry's program.
+//! Program of the entry.
 
 use std::process::ExitCode;
 
--- a/src/bin/shalelane.rs
+++ b/src/bin/shalelane.rs
@@ -1,4 +1,4 @@
-//! The operators' program.
+//! Command line program of the operators.
 
 use std::process::ExitCode;
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,37 +1,40 @@
 //! # Shalelane
 //!
-//! Shalelane is a serving layer for operators who run language models for many
+//! Shalelane is a serving layer for operators that run language models for many
 //! client accounts, with prompts from a thousand to a million tokens on one
-//! fleet. It ships as this library and three thin programs:
+//! fleet. It consists of this library and three thin programs:
 //!
-//! - `shalelane-entry` takes callers' requests and finds each a target,
-//! - `shalelane-agent` stands beside one target and is the only way to it,
-//! - `shalelane` is the operators' command line.
+//! - `shalelane-entry` accepts requests of callers and selects a target for each,
+//! - `shalelane-agent` runs beside one target as a sidecar; all requests to the
+//!   target pass through it,
+//! - `shalelane` is the command line of the operators.
 //!
-//! # How a request goes
+//! # Path of a request
 //!
-//! A caller sends an ordinary completion request to an entry. The entry finds
-//! the client account by its key, reads the body without copying the prompt
-//! ([`entry::ask`]), and lets it in within the account's limits
-//! ([`entry::account`]). It asks a few targets' agents what they would do with
-//! the request ([`entry::route`], [`wire::Probe`]) and gives it to the one that
-//! promises the first token soonest ([`wire::Dispatch`]).
+//! A caller sends a completion request to an entry. The entry identifies the
+//! client account by its key, parses the body without copying the prompt
+//! ([`entry::ask`]), and admits the request within the account's limits
+//! ([`entry::account`]). It probes the agents of a few targets
+//! ([`entry::route`], [`wire::Probe`]) and dispatches the request to the agent
+//! that predicts the earliest first token ([`wire::Dispatch`]).
 //!
-//! The agent knows the true memory and queue of its target, since nothing
-//! reaches the target but through it. It takes the request or refuses it, and a
-//! refusal is a sure "not run". It leases memory ([`agent::lease`]), orders the
-//! work ([`agent::queue`]), feeds long prompts to the engine piece by piece so
-//! that short ones get between, and keeps what became of each attempt
-//! ([`agent::ledger`]), so that none runs twice.
+//! The agent knows the exact memory use and queue of its target, since all
+//! requests to the target pass through it. It accepts or refuses the request; a
+//! refused request has certainly not run. The agent leases memory
+//! ([`agent::lease`]), orders the queue ([`agent::queue`]), splits the prefill
+//! of long prompts into pieces so that short prompts can run in between, and
+//! records the outcome of each attempt ([`agent::ledger`]), so that no attempt
+//! runs twice.
 //!
-//! The answer's parts carry their offset. A link that breaks is made again and
-//! the answer joined at the exact place; an answer is never continued from
-//! another run.
+//! Each part of an answer carries its offset. After a broken connection, the
+//! entry reconnects and resumes the answer at that offset; an answer never
+//! continues with the output of another run.
 //!
-//! # What may have run
+//! # Verdicts and retries
 //!
-//! Every failure carries a [`Verdict`]. A request that may not be repeated is
-//! tried again only after [`Verdict::NotRun`].
+//! Every failure carries a [`Verdict`], which states whether the request may
+//! have run. A request that must not be repeated is retried only after
+//! [`Verdict::NotRun`].
 //!
 //! ```
 //! use shalelane::Verdict;
@@ -44,7 +47,8 @@
 //! # Declared configuration
 //!
 //! Operators declare services, models, templates and client accounts in TOML.
-//! [`Config::from_toml`] refuses what is not right, with its place.
+//! [`Config::from_toml`] rejects an invalid document with the line and column
+//! of the error.
 //!
 //! ```
 //! let text = "[[services]]\nname = \"engines\"\nkind = \"engin\"\n";
@@ -54,12 +58,13 @@
 //!
 //! # Cores and daemons
 //!
-//! [`entry::EntryCore`] and [`agent::AgentCore`] decide everything and do no
-//! input or output: each is a plain struct that takes an event and the time and
-//! returns effects. One loop on one thread turns sockets and timers into events
-//! ([`entry::daemon`], [`agent::daemon`]). The same cores run in virtual time in
-//! the randomised runs of the workspace member `standins`. They check their
-//! invariants themselves ([`invariant`]).
+//! [`entry::EntryCore`] and [`agent::AgentCore`] make all decisions and perform
+//! no input or output: each is a plain struct that takes an event and the
+//! current time and returns effects. A single-threaded event loop turns socket
+//! input and timers into events and applies the effects ([`entry::daemon`],
+//! [`agent::daemon`]). The randomized simulations of the workspace member
+//! `standins` run the same cores in virtual time. The cores check their own
+//! invariants ([`invariant`]).
 
 pub mod account_gate;
 pub mod agent;
