--- a/src/config/check.rs
+++ b/src/config/check.rs
@@ -43,6 +43,7 @@
     }
 }
 
+/// Validation of one configuration.
 struct Checker<'a> {
     config: &'a Config,
     locate: Locate<'a>,
@@ -70,6 +71,7 @@
 }
 
 impl Checker<'_> {
+    /// Returns an error with the position of the value at `path`.
     fn reject<T>(&self, path: &[PathSegment], text: impl Into<String>) -> Result<T> {
         Err(Error::config((self.locate)(path), text))
     }
--- a/src/config/parse.rs
+++ b/src/config/parse.rs
@@ -24,7 +24,7 @@
         Ok(config)
     }
 
-    /// Parses and validates the JSON form that the store holds.
+    /// Parses and validates the JSON form of a whole configuration.
     ///
     /// # Errors
     ///
@@ -39,7 +39,7 @@
         Ok(config)
     }
 
-    /// Serializes the configuration to the JSON form that the store holds.
+    /// Serializes the whole configuration to JSON.
     #[must_use]
     pub fn to_json(&self) -> Vec<u8> {
         serde_json::to_vec(self).unwrap_or_default()
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -12,7 +12,7 @@
 const FIRST_TOKEN_BUCKETS: [f64; 12] =
     [0.025, 0.05, 0.1, 0.2, 0.42, 0.7, 1.0, 2.0, 5.0, 15.0, 60.0, 300.0];
 
-/// A registry of metrics, which a scrape reads.
+/// Registry of the metrics of a process, encoded at each scrape.
 #[derive(Debug, Default)]
 pub(crate) struct MetricsPage {
     registry: Registry,
