--- a/src/account_gate.rs
+++ b/src/account_gate.rs
@@ -125,7 +125,7 @@
     /// # Errors
     ///
     /// The request is not admitted. The error is the time after which to ask again.
-    pub fn ask(
+    pub fn admit(
         &mut self,
         account: &Arc<str>,
         remainder: AccountShare,
--- a/src/agent/attempts.rs
+++ b/src/agent/attempts.rs
@@ -44,7 +44,7 @@
             self.store_outcome(id, not_run("refused"), until + self.tuning.ledger_margin);
             return;
         }
-        let cached = self.cache.cached_tokens(&dispatch.marks, dispatch.need.prompt);
+        let cached = self.cache.cached_tokens(&dispatch.prefix_hashes, dispatch.need.prompt);
         let run = Run::new(dispatch, conn, now, cached);
         self.timers.subscribe(run.deadline, Timer::Deadline(id.clone()));
         self.runs.insert(id, run);
--- a/src/agent/core.rs
+++ b/src/agent/core.rs
@@ -252,20 +252,20 @@
             ToAgent::ConfigVersion(version) => {
                 self.config_version = self.config_version.max(version);
             }
-            ToAgent::AskAccount(ask) => self.on_account_request(conn, &ask, now),
+            ToAgent::QueryAccount(ask) => self.on_account_request(conn, &ask, now),
             ToAgent::ReleaseAccount(number) => self.quota.release(&(conn, number)),
         }
     }
 
     pub(super) fn on_probe(&mut self, conn: ConnId, probe: &Probe, now: Tick) {
         self.counts.probes += 1;
-        let cached = self.cache.cached_tokens(&probe.marks, probe.need.prompt);
+        let cached = self.cache.cached_tokens(&probe.prefix_hashes, probe.need.prompt);
         let wait = self.predict_wait(probe.need.total(), probe.urgency, "", now);
         let backoff = self.backoff(now);
         let wait = wait.max(backoff);
         let answer = ProbeAnswer {
             number: probe.number,
-            open: self.refuse_new(&probe.model).is_none() && backoff.is_zero(),
+            is_available: self.refuse_new(&probe.model).is_none() && backoff.is_zero(),
             wait_us: wait.as_micros() as u64,
             prefill_us: self.rates.prefill(probe.need.prompt - cached).as_micros() as u64,
             cached_tokens: cached,
@@ -277,12 +277,12 @@
     }
 
     fn on_account_request(&mut self, conn: ConnId, request: &AccountAsk, now: Tick) {
-        let AccountAsk { number, account, rest, is_held } = request;
+        let AccountAsk { number, account, remainder: rest, was_admitted: is_held } = request;
         let holder = (conn, *number);
         if *is_held {
             return self.quota.note_held(account, holder, now);
         }
-        let wait = self.quota.ask(account, *rest, holder, now).err();
+        let wait = self.quota.admit(account, *rest, holder, now).err();
         let wait_us = wait.map(|wait| wait.as_micros() as u64);
         self.send(Some(conn), ToEntry::AccountAnswer { number: *number, wait_us });
     }
--- a/src/agent/daemon.rs
+++ b/src/agent/daemon.rs
@@ -192,7 +192,7 @@
                 () = sleep => self.step(Event::Wake),
                 () = &mut stop, if force_stop_at == Tick::NEVER => {
                     info!(self.shared.log, "planned stop begins");
-                    force_stop_at = self.clock.now() + self.shared.settings.drain_limit;
+                    force_stop_at = self.clock.now() + self.shared.settings.drain_timeout;
                     self.step(Event::Drain);
                 }
             }
@@ -205,7 +205,7 @@
         for effect in effects {
             self.apply(effect);
         }
-        self.meter.note(start.elapsed());
+        self.meter.record(start.elapsed());
         self.shared.metrics.update(&self.core, self.meter.longest());
     }
 
@@ -229,7 +229,7 @@
                 spawn_local(resume(shared, id, limit));
             }
             Effect::Cancel(id) => self.cancel(id),
-            Effect::CancelStray(id) => {
+            Effect::CancelOrphan(id) => {
                 warn!(shared.log, "cancelling an orphaned run at the engine"; "run" => &id);
                 spawn_local(async move {
                     // If this fails, the next check of the engine's holdings finds it again.
--- a/src/agent/event.rs
+++ b/src/agent/event.rs
@@ -133,7 +133,7 @@
     /// Cancel a run; answered by [`RunEvent::Cancelled`].
     Cancel(AttemptId),
     /// Cancel an orphan: a run or reservation at the engine that belongs to no known attempt.
-    CancelStray(String),
+    CancelOrphan(String),
     /// Reserve engine memory, in tokens, for a hold; answered by [`Event::Reserved`].
     Reserve(AttemptId, u64),
     /// Release the reservation of a hold; answered by [`Event::Unreserved`].
--- a/src/agent/metrics.rs
+++ b/src/agent/metrics.rs
@@ -12,7 +12,7 @@
 use super::core::AgentCore;
 use super::daemon::AgentShared;
 use crate::metrics::{CountMirror, MetricsPage};
-use crate::web::{Answer, accept_next, answer, answer_json, serve_connection};
+use crate::web::{WebResponse, accept_next, to_response, answer_json, serve_connection};
 
 #[derive(Debug)]
 struct AgentCounters {
@@ -70,15 +70,15 @@
     /// Updates the metrics from the core's counts.
     pub(super) fn update(&self, core: &AgentCore, longest_iteration: Duration) {
         let (counts, counters) = (core.counts(), &self.counters);
-        counters.started.follow(counts.started);
-        counters.done.follow(counts.done);
-        counters.failed.follow(counts.failed);
-        counters.refused.follow(counts.refused);
-        counters.cancelled.follow(counts.cancelled);
-        counters.orphans.follow(counts.orphans);
-        counters.probes.follow(counts.probes);
-        counters.cache_gaps.follow(core.cache_gaps());
-        counters.broken_invariants.follow(core.broken_invariants());
+        counters.started.advance_to(counts.started);
+        counters.done.advance_to(counts.done);
+        counters.failed.advance_to(counts.failed);
+        counters.refused.advance_to(counts.refused);
+        counters.cancelled.advance_to(counts.cancelled);
+        counters.orphans.advance_to(counts.orphans);
+        counters.probes.advance_to(counts.probes);
+        counters.cache_gaps.advance_to(core.cache_gaps());
+        counters.broken_invariants.advance_to(core.broken_invariants());
         self.open_runs.set(core.open_runs() as i64);
         self.leased_tokens.set(core.leased_tokens() as i64);
         self.longest_iteration.set(longest_iteration.as_micros() as i64);
@@ -96,11 +96,11 @@
     }
 }
 
-fn handle(shared: &AgentShared, request: &Request<Incoming>) -> Answer {
+fn handle(shared: &AgentShared, request: &Request<Incoming>) -> WebResponse {
     match (request.method(), request.uri().path()) {
-        (&Method::GET, "/healthz") => answer(StatusCode::OK, "text/plain", "ok\n"),
+        (&Method::GET, "/healthz") => to_response(StatusCode::OK, "text/plain", "ok\n"),
         (&Method::GET, "/metrics") => {
-            answer(StatusCode::OK, "text/plain; version=0.0.4", shared.metrics.registry.to_text())
+            to_response(StatusCode::OK, "text/plain; version=0.0.4", shared.metrics.registry.to_text())
         }
         (&Method::GET, "/timeline") => {
             let timeline = shared.timeline.borrow();
@@ -108,6 +108,6 @@
             let records: Vec<_> = timeline.select(request_id.unwrap_or("")).collect();
             answer_json(StatusCode::OK, &records)
         }
-        _ => answer(StatusCode::NOT_FOUND, "text/plain", "no such path\n"),
+        _ => to_response(StatusCode::NOT_FOUND, "text/plain", "no such path\n"),
     }
 }
--- a/src/agent/schedule.rs
+++ b/src/agent/schedule.rs
@@ -148,7 +148,7 @@
         };
         let waited = now.since(run.arrived);
         let detail = format!("waited {} ms, cached {} tokens", waited.as_millis(), run.cached);
-        let hashes = run.dispatch.marks.clone();
+        let hashes = run.dispatch.prefix_hashes.clone();
         self.cache.track_run(id, &hashes);
         self.effects.push(Effect::Start(Box::new(start)));
         self.record(id, "started", detail);
--- a/src/agent/target.rs
+++ b/src/agent/target.rs
@@ -201,7 +201,7 @@
                 return;
             }
             self.counts.orphans += 1;
-            self.effects.push(Effect::CancelStray(orphan.id.clone()));
+            self.effects.push(Effect::CancelOrphan(orphan.id.clone()));
         }
     }
 }
--- a/src/claim_store.rs
+++ b/src/claim_store.rs
@@ -52,7 +52,7 @@
     /// Another request, named here, owns the key.
     Taken(String),
     /// The store is unreachable: the owner is unknown, so the request must not run.
-    Away,
+    StoreUnreachable,
 }
 
 struct PendingClaim {
@@ -78,7 +78,7 @@
         let (answer_in, answer) = oneshot::channel();
         let record = ClaimRecord { key, request, is_release: false };
         self.send(PendingClaim { record, answer: Some(answer_in) });
-        answer.await.unwrap_or(ClaimOutcome::Away)
+        answer.await.unwrap_or(ClaimOutcome::StoreUnreachable)
     }
 
     /// Releases a key whose request was not run.
@@ -185,10 +185,10 @@
             let Some(answer) = pending.answer else { continue };
             let owner = self.log.as_ref().and_then(|log| log.owner(&pending.record.key));
             let outcome = match owner {
-                _ if !is_written => ClaimOutcome::Away,
+                _ if !is_written => ClaimOutcome::StoreUnreachable,
                 Some(owner) if owner == pending.record.request => ClaimOutcome::Won,
                 Some(owner) => ClaimOutcome::Taken(owner.to_owned()),
-                None => ClaimOutcome::Away,
+                None => ClaimOutcome::StoreUnreachable,
             };
             // If the caller has disconnected, the answer is not needed.
             let _ = answer.send(outcome);
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -84,7 +84,7 @@
     }
 
     /// Returns how long the host was suspended since the last check; `None` if it was not.
-    pub fn look(&mut self) -> Option<Duration> {
+    pub fn take_suspension(&mut self) -> Option<Duration> {
         let suspended = self.read();
         let span = suspended.saturating_sub(self.suspended);
         self.suspended = suspended;
--- a/src/entry/account.rs
+++ b/src/entry/account.rs
@@ -45,7 +45,7 @@
     /// keys.
     #[must_use]
     pub fn find(&self, secret: &str) -> Option<Rc<AccountPolicy>> {
-        self.by_key.get(&*to_key(secret)).cloned()
+        self.by_key.get(&*to_key_hash(secret)).cloned()
     }
 
     /// The configuration from which the table was built.
@@ -76,7 +76,7 @@
 
 /// The form in which the configuration holds a secret: its SHA-256 in hexadecimal.
 #[must_use]
-pub fn to_key(secret: &str) -> String {
+pub fn to_key_hash(secret: &str) -> String {
     to_hex(&Sha256::digest(secret.as_bytes()))
 }
 
--- a/src/entry/admin.rs
+++ b/src/entry/admin.rs
@@ -13,7 +13,7 @@
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 
-use super::account::to_key;
+use super::account::to_key_hash;
 use super::daemon::{EntryShared, current_config};
 use super::why::DecisionLog;
 use crate::client::{HttpClient, full};
@@ -22,7 +22,7 @@
 use crate::id::RequestId;
 use crate::verdict::Verdict;
 use crate::web::{
-    Answer, accept_next, answer, answer_fault, answer_json, bearer, read_body, serve_connection,
+    WebResponse, accept_next, to_response, answer_fault, answer_json, bearer_token, read_body, serve_connection,
 };
 
 /// Maximum size of a configuration, in bytes.
@@ -93,7 +93,7 @@
     pub dry_run: bool,
 }
 
-async fn handle(shared: Rc<EntryShared>, request: Request<Incoming>) -> Answer {
+async fn handle(shared: Rc<EntryShared>, request: Request<Incoming>) -> WebResponse {
     let result = match authorize(&shared, &request) {
         Ok(()) => route(&shared, request).await,
         Err(fault) => Err(fault),
@@ -105,7 +105,7 @@
 
 fn authorize(shared: &EntryShared, request: &Request<Incoming>) -> Result<(), AdminFault> {
     let expected = shared.settings.admin_key_sha256.as_deref().unwrap_or("");
-    let given = bearer(request.headers()).map(to_key).unwrap_or_default();
+    let given = bearer_token(request.headers()).map(to_key_hash).unwrap_or_default();
     let is_match: bool = expected.as_bytes().ct_eq(given.as_bytes()).into();
     if is_match && !expected.is_empty() {
         return Ok(());
@@ -113,7 +113,7 @@
     Err(AdminFault::new(StatusCode::UNAUTHORIZED, "unknown_key", "not an operator's key"))
 }
 
-async fn route(shared: &Rc<EntryShared>, request: Request<Incoming>) -> Result<Answer, AdminFault> {
+async fn route(shared: &Rc<EntryShared>, request: Request<Incoming>) -> Result<WebResponse, AdminFault> {
     let path = request.uri().path().to_owned();
     match (request.method(), path.as_str()) {
         (&Method::GET, "/admin/v1/status") => show_status(shared).await,
@@ -130,7 +130,7 @@
     }
 }
 
-async fn show_status(shared: &Rc<EntryShared>) -> Result<Answer, AdminFault> {
+async fn show_status(shared: &Rc<EntryShared>) -> Result<WebResponse, AdminFault> {
     let process = shared.process.to_string();
     let (ready, stopping) = (shared.is_ready(), shared.draining.get());
     let longest_turn_us = shared.meter.longest().as_micros() as u64;
@@ -153,7 +153,7 @@
     Ok(answer_json(StatusCode::OK, &status))
 }
 
-async fn show_entries(shared: &Rc<EntryShared>) -> Result<Answer, AdminFault> {
+async fn show_entries(shared: &Rc<EntryShared>) -> Result<WebResponse, AdminFault> {
     let entries = shared.query_core(|core| core.table().entry_addresses()).await;
     Ok(answer_json(StatusCode::OK, &entries.ok_or_else(stopping_fault)?))
 }
@@ -163,9 +163,9 @@
     AdminFault::new(StatusCode::SERVICE_UNAVAILABLE, "stopping", "this entry is stopping")
 }
 
-fn show_config(shared: &EntryShared) -> Answer {
+fn show_config(shared: &EntryShared) -> WebResponse {
     let config = current_config(shared);
-    let mut response = answer(StatusCode::OK, "application/json", config.to_json());
+    let mut response = to_response(StatusCode::OK, "application/json", config.to_json());
     response.headers_mut().insert(ETAG, to_etag(config.version));
     response
 }
@@ -178,7 +178,7 @@
 async fn apply_config(
     shared: &Rc<EntryShared>,
     request: Request<Incoming>,
-) -> Result<Answer, AdminFault> {
+) -> Result<WebResponse, AdminFault> {
     let expected = read_if_match(&request)?;
     let dry_run = request.uri().query().is_some_and(|query| query.contains("dry_run=true"));
     let body =
@@ -229,7 +229,7 @@
     shared: &Rc<EntryShared>,
     text: &str,
     request: &Request<Incoming>,
-) -> Result<Answer, AdminFault> {
+) -> Result<WebResponse, AdminFault> {
     let id = RequestId::from_str(text)
         .map_err(|error| AdminFault::new(StatusCode::BAD_REQUEST, "bad_id", error.to_string()))?;
     if id.owner.name != shared.process.name {
@@ -256,7 +256,7 @@
     id: &RequestId,
     text: &str,
     request: &Request<Incoming>,
-) -> Result<Answer, AdminFault> {
+) -> Result<WebResponse, AdminFault> {
     let name = id.owner.name.clone();
     let address = shared.query_core(move |core| core.table().entry_addresses().remove(&name)).await;
     let Some(address) = address.ok_or_else(stopping_fault)? else {
@@ -273,10 +273,10 @@
     let response = response.map_err(|error| {
         AdminFault::new(StatusCode::BAD_GATEWAY, "entry_away", error.to_string())
     })?;
-    Ok(answer(response.status(), "application/json", response.into_body()))
+    Ok(to_response(response.status(), "application/json", response.into_body()))
 }
 
-fn show_timeline(shared: &EntryShared, request: &Request<Incoming>) -> Answer {
+fn show_timeline(shared: &EntryShared, request: &Request<Incoming>) -> WebResponse {
     let query = request.uri().query().unwrap_or("");
     let requested = query.split('&').find_map(|pair| pair.strip_prefix("request="));
     let timeline = shared.timeline.borrow();
--- a/src/entry/admission.rs
+++ b/src/entry/admission.rs
@@ -77,8 +77,8 @@
         is_held: bool,
     ) {
         let account = arrival.policy.name.clone();
-        let query = AccountAsk { number: arrival.number, account, rest, is_held };
-        self.effects.push(Effect::Send(agent.clone(), ToAgent::AskAccount(query)));
+        let query = AccountAsk { number: arrival.number, account, remainder: rest, was_admitted: is_held };
+        self.effects.push(Effect::Send(agent.clone(), ToAgent::QueryAccount(query)));
     }
 
     /// Reports to an agent the open requests that it has admitted, since it may have restarted
@@ -92,12 +92,12 @@
             .map(|request| AccountAsk {
                 number: request.arrival.number,
                 account: request.arrival.policy.name.clone(),
-                rest: empty,
-                is_held: true,
+                remainder: empty,
+                was_admitted: true,
             })
             .collect();
         for query in queries {
-            self.effects.push(Effect::Send(agent.clone(), ToAgent::AskAccount(query)));
+            self.effects.push(Effect::Send(agent.clone(), ToAgent::QueryAccount(query)));
         }
     }
 
--- a/src/entry/answers.rs
+++ b/src/entry/answers.rs
@@ -10,7 +10,7 @@
 use super::caller::CallerHandle;
 use super::event::{Failure, FailureCode, Reply};
 use crate::verdict::Verdict;
-use crate::web::{Answer, AnswerBody, FaultBody, PartStream, answer, answer_fault, set_verdict};
+use crate::web::{WebResponse, AnswerBody, FaultBody, PartStream, to_response, answer_fault, set_verdict};
 use crate::wire::Completion;
 
 pub(super) fn to_status(code: FailureCode) -> StatusCode {
@@ -18,7 +18,7 @@
         FailureCode::LimitExceeded => StatusCode::TOO_MANY_REQUESTS,
         FailureCode::Overloaded
         | FailureCode::NoTarget
-        | FailureCode::HeldBack
+        | FailureCode::Quarantined
         | FailureCode::Stopping => StatusCode::SERVICE_UNAVAILABLE,
         FailureCode::TimeLimit => StatusCode::GATEWAY_TIMEOUT,
         FailureCode::TargetFailed => StatusCode::BAD_GATEWAY,
@@ -26,7 +26,7 @@
     }
 }
 
-pub(super) fn answer_failure(failure: &Failure, id: &str) -> Answer {
+pub(super) fn answer_failure(failure: &Failure, id: &str) -> WebResponse {
     let (status, code) = (to_status(failure.code), failure.code.to_string());
     answer_fault(status, &code, &failure.message, failure.verdict, id, failure.retry_after)
 }
@@ -143,7 +143,7 @@
     mut caller: CallerHandle,
     first: Reply,
     answer_format: &AnswerFormat,
-) -> Answer {
+) -> WebResponse {
     let mut text = Vec::new();
     let mut reply = first;
     loop {
@@ -151,7 +151,7 @@
             Reply::Text(part) => text.extend_from_slice(&part),
             Reply::Done(done) => {
                 let json = answer_format.to_json(&text, Some(&done), false);
-                let mut response = answer(StatusCode::OK, "application/json", json);
+                let mut response = to_response(StatusCode::OK, "application/json", json);
                 set_verdict(response.headers_mut(), Verdict::Ran, &answer_format.id);
                 return response;
             }
@@ -166,7 +166,7 @@
     mut caller: CallerHandle,
     first: Reply,
     answer_format: AnswerFormat,
-) -> Answer {
+) -> WebResponse {
     let (part_sender, parts) = mpsc::unbounded_channel();
     let id = answer_format.id.clone();
     let writer = spawn_local(async move {
@@ -180,7 +180,7 @@
         }
     });
     let guard = Box::new(AbortGuard(writer));
-    let mut response = Response::new(AnswerBody::Parts(PartStream { parts, _guard: guard }));
+    let mut response = Response::new(AnswerBody::Streamed(PartStream { chunks: parts, _guard: guard }));
     let headers = response.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/event-stream"));
     headers.insert(hyper::header::CACHE_CONTROL, HeaderValue::from_static("no-store"));
--- a/src/entry/attempts.rs
+++ b/src/entry/attempts.rs
@@ -48,7 +48,7 @@
             weight: arrival.policy.weight,
             urgency: arrival.policy.urgency,
             need: request.need,
-            marks: arrival.marks.clone(),
+            prefix_hashes: arrival.prefix_hashes.clone(),
             body_len: arrival.body.len() as u64,
             remaining_us: left.saturating_sub(margin).as_micros() as u64,
             shards: shards.collect(),
--- a/src/entry/caller.rs
+++ b/src/entry/caller.rs
@@ -71,7 +71,7 @@
     fn drop(&mut self) {
         if !self.is_finished {
             self.shared.replies.borrow_mut().remove(&self.number);
-            self.shared.send(Event::CallerGone(self.number));
+            self.shared.send(Event::CallerDisconnected(self.number));
         }
     }
 }
--- a/src/entry/core.rs
+++ b/src/entry/core.rs
@@ -143,10 +143,10 @@
     pub fn on_event(&mut self, now: Tick, event: Event) -> Vec<Effect> {
         match event {
             Event::Arrive(arrival) => self.on_arrive(arrival, now),
-            Event::CallerGone(number) => self.on_caller_gone(number, now),
+            Event::CallerDisconnected(number) => self.on_caller_gone(number, now),
             Event::AgentUp(target, incarnation) => self.on_agent_up(target, incarnation),
             Event::AgentDown(target) => self.on_agent_down(&target, now),
-            Event::Agent(target, message) => self.on_message(&target, message, now),
+            Event::AgentMessage(target, message) => self.on_message(&target, message, now),
             Event::Hosts(delta) => self.table.on_hosts(&delta),
             Event::Config(config) => self.on_config(config),
             Event::Drain => self.draining = true,
@@ -240,7 +240,7 @@
         }
         if let Some(wait) = self.quarantine_time(&arrival, now) {
             let text = "targets ended under this request";
-            let failure = not_run_failure(FailureCode::HeldBack, text, wait);
+            let failure = not_run_failure(FailureCode::Quarantined, text, wait);
             self.effects.push(Effect::Reply(number, Reply::Failed(failure)));
             return;
         }
@@ -248,7 +248,7 @@
             Call::Model { model, .. } => self.estimator.estimate(model, arrival.prompt_bytes),
             Call::Plain { .. } => 0,
         };
-        let need = TokenNeed { prompt, answer: arrival.answer_tokens };
+        let need = TokenNeed { prompt, answer: arrival.max_answer_tokens };
         let Some(time_limit) = arrival.policy.time_limit(prompt) else {
             let text = format!("no time limit covers a prompt of {prompt} tokens");
             let failure = Failure {
@@ -273,7 +273,7 @@
         let number = arrival.number;
         self.counts.admitted += 1;
         self.budget.deposit();
-        let first = arrival.marks.peek_first();
+        let first = arrival.prefix_hashes.peek_first();
         let mut request = Request::new(arrival, need, now, time_limit);
         request.agent_grant = agent_grant;
         request.prefix = first.filter(|hash| self.history.insert_prefix(*hash));
--- a/src/entry/daemon.rs
+++ b/src/entry/daemon.rs
@@ -240,7 +240,7 @@
                 () = &mut stop, if !self.shared.draining.get() => {
                     info!(self.shared.log, "drain started");
                     self.shared.draining.set(true);
-                    drain_deadline = self.clock.now() + self.shared.settings.drain_limit;
+                    drain_deadline = self.clock.now() + self.shared.settings.drain_timeout;
                     self.run_iteration(Event::Drain);
                 }
             }
@@ -312,7 +312,7 @@
         shared.send(match event {
             LinkEvent::Up(target, incarnation) => Event::AgentUp(target, incarnation),
             LinkEvent::Down(target) => Event::AgentDown(target),
-            LinkEvent::Message(target, message) => Event::Agent(target, message),
+            LinkEvent::Message(target, message) => Event::AgentMessage(target, message),
         });
     }
 }
--- a/src/entry/direct.rs
+++ b/src/entry/direct.rs
@@ -85,7 +85,7 @@
         let Some(request) = self.requests.get(&number) else {
             return false;
         };
-        if !self.tuning.policy.is_direct || request.need.prompt > MAX_DIRECT_TOKENS {
+        if !self.tuning.policy.allows_direct || request.need.prompt > MAX_DIRECT_TOKENS {
             return false;
         }
         let query = RouteQuery {
--- a/src/entry/event.rs
+++ b/src/entry/event.rs
@@ -30,9 +30,9 @@
     /// Length of the prompt text in bytes; zero for a plain service.
     pub prompt_bytes: u64,
     /// Maximum number of tokens in the answer.
-    pub answer_tokens: u64,
+    pub max_answer_tokens: u64,
     /// Hashes of the prompt's prefixes.
-    pub marks: PrefixMarks,
+    pub prefix_hashes: PrefixMarks,
     /// The caller's body, unchanged.
     pub body: Bytes,
     /// Whether the request may be retried after an attempt that may have run.
@@ -45,13 +45,13 @@
     /// A request arrived.
     Arrive(Box<Arrival>),
     /// The caller of this request disconnected.
-    CallerGone(u64),
+    CallerDisconnected(u64),
     /// A connection to a target's agent was established.
     AgentUp(Arc<str>, Incarnation),
     /// The connection to a target's agent was closed, or could not be established.
     AgentDown(Arc<str>),
     /// A target's agent sent a message.
-    Agent(Arc<str>, ToEntry),
+    AgentMessage(Arc<str>, ToEntry),
     /// The platform's list of hosts changed.
     Hosts(HostDelta),
     /// A configuration was read from the store.
@@ -84,7 +84,7 @@
     /// The request is quarantined, because targets crashed while they ran it.
     #[display("held_back")]
     #[serde(rename = "held_back")]
-    HeldBack,
+    Quarantined,
     /// The entry is draining or has stopped.
     #[display("stopping")]
     Stopping,
@@ -193,7 +193,7 @@
 #[derive(Clone, Debug)]
 pub struct RoutePolicy {
     /// Dispatch short requests without probing if a target is likely to run them at once.
-    pub is_direct: bool,
+    pub allows_direct: bool,
     /// Chooses the one target to probe, instead of probing several; used for comparisons.
     pub pick: Option<TargetPick>,
 }
@@ -214,7 +214,7 @@
             hold_ttl: Duration::from_secs(10),
             retry_ratio: 0.1,
             decision_capacity: 2048,
-            policy: RoutePolicy { is_direct: true, pick: None },
+            policy: RoutePolicy { allows_direct: true, pick: None },
             strict: cfg!(debug_assertions),
         }
     }
--- a/src/entry/http.rs
+++ b/src/entry/http.rs
@@ -22,7 +22,7 @@
 use crate::prefix::PrefixMarks;
 use crate::verdict::Verdict;
 use crate::web::{
-    Answer, BodyFault, accept_next, answer, answer_fault, answer_json, bearer, read_body,
+    WebResponse, BodyFault, accept_next, to_response, answer_fault, answer_json, bearer_token, read_body,
     serve_connection, set_verdict,
 };
 use crate::wire::Call;
@@ -72,10 +72,10 @@
     }
 }
 
-async fn handle(shared: Rc<EntryShared>, request: Request<Incoming>) -> Answer {
+async fn handle(shared: Rc<EntryShared>, request: Request<Incoming>) -> WebResponse {
     let path = request.uri().path();
     match (request.method(), path) {
-        (&Method::GET, "/healthz") => answer(StatusCode::OK, "text/plain", "ok\n"),
+        (&Method::GET, "/healthz") => to_response(StatusCode::OK, "text/plain", "ok\n"),
         (&Method::GET, "/readyz") => answer_ready(&shared),
         (&Method::GET, "/metrics") => answer_metrics(&shared).await,
         _ => {
@@ -94,21 +94,21 @@
     }
 }
 
-fn answer_ready(shared: &EntryShared) -> Answer {
+fn answer_ready(shared: &EntryShared) -> WebResponse {
     if shared.is_ready() {
-        return answer(StatusCode::OK, "text/plain", "ready\n");
+        return to_response(StatusCode::OK, "text/plain", "ready\n");
     }
-    answer(StatusCode::SERVICE_UNAVAILABLE, "text/plain", "not ready\n")
+    to_response(StatusCode::SERVICE_UNAVAILABLE, "text/plain", "not ready\n")
 }
 
-async fn answer_metrics(shared: &Rc<EntryShared>) -> Answer {
+async fn answer_metrics(shared: &Rc<EntryShared>) -> WebResponse {
     let inner = shared.clone();
     let longest = shared.meter.longest();
     let text = shared.query_core(move |core| inner.metrics.to_text(core, longest)).await;
-    answer(StatusCode::OK, "text/plain; version=0.0.4", text.unwrap_or_default())
+    to_response(StatusCode::OK, "text/plain; version=0.0.4", text.unwrap_or_default())
 }
 
-fn answer_request_fault(fault: &RequestFault, id: &str) -> Answer {
+fn answer_request_fault(fault: &RequestFault, id: &str) -> WebResponse {
     let status = StatusCode::from_u16(fault.status).unwrap_or(StatusCode::BAD_REQUEST);
     answer_fault(status, fault.code, &fault.message, fault.verdict, id, fault.retry_after)
 }
@@ -118,7 +118,7 @@
     request: Request<Incoming>,
     number: u64,
     id: &str,
-) -> Result<Answer, RequestFault> {
+) -> Result<WebResponse, RequestFault> {
     let policy = authorize(shared, &request)?;
     let path = request.uri().path();
     match (request.method(), path) {
@@ -143,7 +143,7 @@
     if !shared.is_ready() {
         return Err(RequestFault::new(503, "not_ready", "this entry takes no requests now"));
     }
-    let Some(secret) = bearer(request.headers()) else {
+    let Some(secret) = bearer_token(request.headers()) else {
         return Err(RequestFault::new(401, "missing_key", "no `Authorization: Bearer` key"));
     };
     let account = shared.accounts.borrow().find(secret);
@@ -165,7 +165,7 @@
     owned_by: &'static str,
 }
 
-fn answer_models(shared: &EntryShared, policy: &AccountPolicy) -> Answer {
+fn answer_models(shared: &EntryShared, policy: &AccountPolicy) -> WebResponse {
     let config = super::daemon::current_config(shared);
     let models = policy.models.iter().filter(|name| config.model(name).is_some());
     let data = models.map(|name| ModelEntry { id: name, object: "model", owned_by: "shalelane" });
@@ -174,15 +174,15 @@
 
 async fn read_limited_body(shared: &EntryShared, body: Incoming) -> Result<Bytes, RequestFault> {
     let settings = &shared.settings;
-    read_body(body, settings.max_body, settings.body_limit).await.map_err(|fault| match fault {
+    read_body(body, settings.max_body_bytes, settings.body_timeout).await.map_err(|fault| match fault {
         BodyFault::TooLarge => {
-            let text = format!("the body is larger than {} bytes", settings.max_body);
+            let text = format!("the body is larger than {} bytes", settings.max_body_bytes);
             RequestFault::new(413, "body_too_large", text)
         }
-        BodyFault::TooSlow => {
+        BodyFault::TimedOut => {
             RequestFault::new(408, "body_too_slow", "the body did not arrive in time")
         }
-        BodyFault::Broken => RequestFault::new(400, "broken_body", "the body broke off"),
+        BodyFault::Aborted => RequestFault::new(400, "broken_body", "the body broke off"),
     })
 }
 
@@ -192,7 +192,7 @@
     policy: Rc<AccountPolicy>,
     number: u64,
     id: &str,
-) -> Result<Answer, RequestFault> {
+) -> Result<WebResponse, RequestFault> {
     let is_repeat_forbidden = forbids_repeat(&request);
     let key = header_text(&request, IDEMPOTENCY_HEADER)?;
     let path = request.uri().path().to_owned();
@@ -212,8 +212,8 @@
         service: model.service,
         call,
         prompt_bytes: completion.prompt_bytes,
-        answer_tokens: completion.max_answer_tokens,
-        marks: completion.prefix_hashes,
+        max_answer_tokens: completion.max_answer_tokens,
+        prefix_hashes: completion.prefix_hashes,
         body,
         repeatable,
     };
@@ -247,7 +247,7 @@
     policy: Rc<AccountPolicy>,
     number: u64,
     id: &str,
-) -> Result<Answer, RequestFault> {
+) -> Result<WebResponse, RequestFault> {
     let service_path = request.uri().path().trim_start_matches("/services/");
     let (service, path) = service_path.split_once('/').unwrap_or((service_path, ""));
     let (service, path) = (service.to_owned(), format!("/{path}"));
@@ -283,8 +283,8 @@
         service: service.into(),
         call,
         prompt_bytes: 0,
-        answer_tokens: 0,
-        marks: PrefixMarks::default(),
+        max_answer_tokens: 0,
+        prefix_hashes: PrefixMarks::default(),
         body,
         // A method that is not safe may have effects. Only the configuration can declare it
         // repeatable, by not listing the path in `not_repeatable`.
@@ -327,7 +327,7 @@
                 ..RequestFault::new(409, "key_taken", text)
             })
         }
-        ClaimOutcome::Away => {
+        ClaimOutcome::StoreUnreachable => {
             let text = "the key can not be claimed while the platform's store is away";
             let retry_after = Some(CLAIM_RETRY_AFTER);
             Err(RequestFault { retry_after, ..RequestFault::new(503, "claims_away", text) })
@@ -350,7 +350,7 @@
     status: u16,
     content_type: &str,
     id: &str,
-) -> Answer {
+) -> WebResponse {
     let mut body = Vec::new();
     loop {
         match caller.next_reply().await {
@@ -361,7 +361,7 @@
         }
     }
     let status = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
-    let mut response = answer(status, content_type, body);
+    let mut response = to_response(status, content_type, body);
     set_verdict(response.headers_mut(), Verdict::Ran, id);
     response
 }
--- a/src/entry/probing.rs
+++ b/src/entry/probing.rs
@@ -31,7 +31,7 @@
         let count = if is_wide { self.tuning.wide_candidates } else { self.tuning.candidates };
         // For a long prompt a new connection is worthwhile, even if its prefix has not been seen.
         let is_long = request.need.prompt > super::direct::MAX_DIRECT_TOKENS;
-        let long_prefix = request.arrival.marks.peek_first().filter(|_| is_long);
+        let long_prefix = request.arrival.prefix_hashes.peek_first().filter(|_| is_long);
         let query = RouteQuery {
             service: &request.arrival.service,
             prefix: request.prefix.or(long_prefix),
@@ -64,7 +64,7 @@
                 model: model.clone(),
                 need: request.need,
                 urgency: request.arrival.policy.urgency,
-                marks: request.arrival.marks.clone(),
+                prefix_hashes: request.arrival.prefix_hashes.clone(),
             };
             unanswered.push((probe.number, target.clone()));
             self.probes.insert(probe.number, number);
@@ -82,7 +82,7 @@
     pub(super) fn on_probe_answer(&mut self, target: &Arc<str>, answer: ProbeAnswer, now: Tick) {
         self.learn_version(answer.config_version);
         self.history.set_wait(target, Duration::from_micros(answer.wait_us), now);
-        if !answer.open {
+        if !answer.is_available {
             self.table.mark_closed(target, now + CLOSED_TTL);
         }
         let Some(number) = self.probes.remove(&answer.number) else {
@@ -97,7 +97,7 @@
         unanswered.retain(|(probe, _)| *probe != answer.number);
         let step = DecisionStep::Offered { target: target.clone(), answer: answer.clone() };
         request.log.push(now, step);
-        let is_open = answer.open;
+        let is_open = answer.is_available;
         if is_open {
             offers.push(Offer { target: target.clone(), answer });
         }
--- a/src/entry/why.rs
+++ b/src/entry/why.rs
@@ -33,7 +33,7 @@
     /// A target answered a probe.
     #[display(
         "{target} offered: open {}, wait {} ms, prefill {} ms, {} tokens cached, {} tokens free",
-        answer.open, answer.wait_us / 1000, answer.prefill_us / 1000,
+        answer.is_available, answer.wait_us / 1000, answer.prefill_us / 1000,
         answer.cached_tokens, answer.free_tokens
     )]
     Offered {
--- a/src/link_pool.rs
+++ b/src/link_pool.rs
@@ -80,7 +80,7 @@
         let Some(link) = state.links.get(target) else {
             return;
         };
-        link.work.borrow_mut().note(message);
+        link.work.borrow_mut().record(message);
         if !link.sender.send(message.to_frame(), is_body) {
             // Dropping the sender ends the task of the link, which then emits `LinkEvent::Down`.
             state.links.remove(target);
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -24,7 +24,7 @@
 
 impl CountMirror {
     /// Raises the counter to `total`; a lower total has no effect.
-    pub(crate) fn follow(&self, total: u64) {
+    pub(crate) fn advance_to(&self, total: u64) {
         self.0.inc_by(total.saturating_sub(self.0.get()));
     }
 }
@@ -100,12 +100,12 @@
     pub fn measure<T>(&self, iteration: impl FnOnce() -> T) -> T {
         let start = Instant::now();
         let result = iteration();
-        self.note(start.elapsed());
+        self.record(start.elapsed());
         result
     }
 
     /// Records the duration of an iteration.
-    pub fn note(&self, duration: Duration) {
+    pub fn record(&self, duration: Duration) {
         self.longest.set(self.longest.get().max(duration));
     }
 
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -279,7 +279,7 @@
 
 impl OpenWork {
     /// Records a message that the link sends or receives.
-    pub(crate) fn note<M: LinkMessage>(&mut self, message: &M) {
+    pub(crate) fn record<M: LinkMessage>(&mut self, message: &M) {
         if let Some(key) = message.opened_attempt() {
             self.0.insert(key);
         }
@@ -352,7 +352,7 @@
                     Message::Binary(frame) => {
                         last_used = last_received;
                         let Ok(message) = In::from_frame(frame) else { return LinkEnd::BadFrame };
-                        open_attempts.borrow_mut().note(&message);
+                        open_attempts.borrow_mut().record(&message);
                         on_message(message);
                     }
                     Message::Ping(_) | Message::Pong(_) => {}
--- a/src/relay/counts.rs
+++ b/src/relay/counts.rs
@@ -211,7 +211,7 @@
             lost_lines,
         ];
         for (mirror, count) in self.mirrors.iter().zip(counts) {
-            mirror.follow(count);
+            mirror.advance_to(count);
         }
         let age = core.lease().age(now).unwrap_or(Duration::MAX);
         self.config_version.set(core.rules().version() as i64);
--- a/src/relay/proxy/call.rs
+++ b/src/relay/proxy/call.rs
@@ -74,9 +74,9 @@
     let time_left = job.deadline.since(shared.now());
     let complete_body =
         read_body(body, MAX_ANSWER_BYTES, time_left).await.map_err(|fault| match fault {
-            BodyFault::TooSlow => AttemptFault::timeout(Verdict::MayHaveRun),
+            BodyFault::TimedOut => AttemptFault::timeout(Verdict::MayHaveRun),
             BodyFault::TooLarge => AttemptFault::garbled("the answer is too large"),
-            BodyFault::Broken => AttemptFault::broken("the answer broke off"),
+            BodyFault::Aborted => AttemptFault::broken("the answer broke off"),
         })?;
     guard.return_connection(&head);
     job.report_answered(shared);
--- a/src/relay/proxy/exchange.rs
+++ b/src/relay/proxy/exchange.rs
@@ -186,10 +186,10 @@
         BodyFault::TooLarge => {
             (StatusCode::PAYLOAD_TOO_LARGE, "body_too_large", "the body is too large")
         }
-        BodyFault::TooSlow => {
+        BodyFault::TimedOut => {
             (StatusCode::REQUEST_TIMEOUT, "body_too_slow", "the body did not arrive in time")
         }
-        BodyFault::Broken => (StatusCode::BAD_REQUEST, "broken_body", "the body broke off"),
+        BodyFault::Aborted => (StatusCode::BAD_REQUEST, "broken_body", "the body broke off"),
     };
     RelayFault::invalid(status, code, message)
 }
--- a/src/relay/server.rs
+++ b/src/relay/server.rs
@@ -277,7 +277,7 @@
     let mut suspensions = SuspensionWatch::new();
     loop {
         tokio::time::sleep(SWEEP_INTERVAL).await;
-        if let Some(duration) = suspensions.look() {
+        if let Some(duration) = suspensions.take_suspension() {
             shared.handle_resumption(duration);
         }
         let now = shared.now();
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -109,13 +109,13 @@
     /// Format of the log.
     pub log_format: LogFormat,
     /// Maximum size of a request body, in bytes.
-    pub max_body: usize,
+    pub max_body_bytes: usize,
     /// Timeout for a request body to arrive.
-    pub body_limit: Duration,
+    pub body_timeout: Duration,
     /// Maximum number of connections of callers.
     pub max_connections: usize,
     /// Maximum duration of a drain; then the process stops even if requests remain.
-    pub drain_limit: Duration,
+    pub drain_timeout: Duration,
 }
 
 /// Settings of an agent.
@@ -140,7 +140,7 @@
     /// Maximum prefill at the engine at a time, in tokens.
     pub prefill_tokens: u64,
     /// Maximum duration of a drain; then the process stops even if requests remain.
-    pub drain_limit: Duration,
+    pub drain_timeout: Duration,
 }
 
 /// Outcome of parsing a command line.
@@ -184,10 +184,10 @@
                 .find("admin-key-sha256", flags.admin_key_sha256)
                 .map(Arc::from),
             log_format: reader.read("log-format", flags.log_format, Some("human"))?,
-            max_body: reader.read("max-body-bytes", flags.max_body_bytes, Some("16777216"))?,
-            body_limit: reader.read_duration("body-limit-ms", flags.body_limit_ms, "30000")?,
+            max_body_bytes: reader.read("max-body-bytes", flags.max_body_bytes, Some("16777216"))?,
+            body_timeout: reader.read_duration("body-limit-ms", flags.body_limit_ms, "30000")?,
             max_connections: reader.read("max-connections", flags.max_connections, Some("4096"))?,
-            drain_limit: reader.read_duration("drain-limit-ms", flags.drain_limit_ms, "900000")?,
+            drain_timeout: reader.read_duration("drain-limit-ms", flags.drain_limit_ms, "900000")?,
         }))
     }
 }
@@ -222,7 +222,7 @@
             log_format: reader.read("log-format", flags.log_format, Some("human"))?,
             piece_tokens: reader.read_count("piece-tokens", flags.piece_tokens, "8192")?,
             prefill_tokens: reader.read_count("prefill-tokens", flags.prefill_tokens, "16384")?,
-            drain_limit: reader.read_duration("drain-limit-ms", flags.drain_limit_ms, "900000")?,
+            drain_timeout: reader.read_duration("drain-limit-ms", flags.drain_limit_ms, "900000")?,
         }))
     }
 }
--- a/src/web.rs
+++ b/src/web.rs
@@ -39,14 +39,14 @@
 
 /// Body of a response: buffered, or streamed in chunks.
 pub(crate) enum AnswerBody {
-    Whole(Full<Bytes>),
-    Parts(PartStream),
+    Buffered(Full<Bytes>),
+    Streamed(PartStream),
 }
 
 /// Chunks of a response body, and a guard that is dropped with the body: the drop shows that the
 /// caller disconnected.
 pub(crate) struct PartStream {
-    pub(crate) parts: mpsc::UnboundedReceiver<Bytes>,
+    pub(crate) chunks: mpsc::UnboundedReceiver<Bytes>,
     pub(crate) _guard: Box<dyn std::any::Any>,
 }
 
@@ -59,27 +59,27 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
         match self.get_mut() {
-            AnswerBody::Whole(body) => Pin::new(body).poll_frame(context),
-            AnswerBody::Parts(stream) => {
-                stream.parts.poll_recv(context).map(|data| data.map(|data| Ok(Frame::data(data))))
+            AnswerBody::Buffered(body) => Pin::new(body).poll_frame(context),
+            AnswerBody::Streamed(stream) => {
+                stream.chunks.poll_recv(context).map(|data| data.map(|data| Ok(Frame::data(data))))
             }
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            AnswerBody::Whole(body) => body.size_hint(),
-            AnswerBody::Parts(_) => SizeHint::default(),
+            AnswerBody::Buffered(body) => body.size_hint(),
+            AnswerBody::Streamed(_) => SizeHint::default(),
         }
     }
 }
 
 /// Response of an HTTP server.
-pub(crate) type Answer = Response<AnswerBody>;
+pub(crate) type WebResponse = Response<AnswerBody>;
 
 /// Creates a response with a buffered body.
-pub(crate) fn answer(status: StatusCode, content_type: &str, body: impl Into<Bytes>) -> Answer {
-    let mut response = Response::new(AnswerBody::Whole(Full::new(body.into())));
+pub(crate) fn to_response(status: StatusCode, content_type: &str, body: impl Into<Bytes>) -> WebResponse {
+    let mut response = Response::new(AnswerBody::Buffered(Full::new(body.into())));
     *response.status_mut() = status;
     let value = HeaderValue::from_str(content_type);
     let value = value.unwrap_or(HeaderValue::from_static("application/octet-stream"));
@@ -88,9 +88,9 @@
 }
 
 /// Creates a response with a JSON body.
-pub(crate) fn answer_json<T: Serialize>(status: StatusCode, value: &T) -> Answer {
+pub(crate) fn answer_json<T: Serialize>(status: StatusCode, value: &T) -> WebResponse {
     let body = serde_json::to_vec(value).unwrap_or_default();
-    answer(status, "application/json", body)
+    to_response(status, "application/json", body)
 }
 
 /// JSON body of an error response.
@@ -127,7 +127,7 @@
     verdict: Verdict,
     request_id: &str,
     retry_after: Option<Duration>,
-) -> Answer {
+) -> WebResponse {
     let mut response = answer_json(status, &FaultBody::new(code, message, verdict, request_id));
     set_verdict(response.headers_mut(), verdict, request_id);
     if let Some(delay) = retry_after {
@@ -149,7 +149,7 @@
 }
 
 /// Returns the token of an `Authorization: Bearer` header.
-pub(crate) fn bearer(headers: &HeaderMap) -> Option<&str> {
+pub(crate) fn bearer_token(headers: &HeaderMap) -> Option<&str> {
     let value = headers.get(hyper::header::AUTHORIZATION)?.to_str().ok()?;
     value.strip_prefix("Bearer ").map(str::trim)
 }
@@ -158,8 +158,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum BodyFault {
     TooLarge,
-    TooSlow,
-    Broken,
+    TimedOut,
+    Aborted,
 }
 
 /// Reads a whole body of up to `max_bytes` bytes within `timeout`.
@@ -175,7 +175,7 @@
     let read = async {
         let mut buffer = BytesMut::with_capacity(expected_bytes);
         while let Some(frame) = body.frame().await {
-            let frame = frame.map_err(|_| BodyFault::Broken)?;
+            let frame = frame.map_err(|_| BodyFault::Aborted)?;
             let Ok(chunk) = frame.into_data() else {
                 continue;
             };
@@ -186,7 +186,7 @@
         }
         Ok(buffer.freeze())
     };
-    tokio::time::timeout(timeout, read).await.unwrap_or(Err(BodyFault::TooSlow))
+    tokio::time::timeout(timeout, read).await.unwrap_or(Err(BodyFault::TimedOut))
 }
 
 /// Accepts the next connection. Retries after a failure, since causes such as a lack of file
@@ -204,7 +204,7 @@
 pub(crate) async fn serve_connection<F, R>(stream: TcpStream, handle: F)
 where
     F: Fn(Request<Incoming>) -> R,
-    R: Future<Output = Answer>,
+    R: Future<Output = WebResponse>,
 {
     let _ = stream.set_nodelay(true);
     let handle = &handle;
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -68,7 +68,7 @@
     pub urgency: Urgency,
     /// Hashes of the prompt's prefixes.
     #[serde(rename = "x")]
-    pub marks: PrefixMarks,
+    pub prefix_hashes: PrefixMarks,
 }
 
 /// An agent's predictions about a probed request.
@@ -79,7 +79,7 @@
     pub number: u64,
     /// `false` if the target is leaving, is not ready or lacks the model.
     #[serde(rename = "o")]
-    pub open: bool,
+    pub is_available: bool,
     /// Predicted wait before the engine starts the request, in microseconds.
     #[serde(rename = "w")]
     pub wait_us: u64,
@@ -151,7 +151,7 @@
     pub need: TokenNeed,
     /// Hashes of the prompt's prefixes.
     #[serde(rename = "marks")]
-    pub marks: PrefixMarks,
+    pub prefix_hashes: PrefixMarks,
     /// Length of the body that follows, in bytes.
     pub body_len: u64,
     /// Time left until the request's deadline, in microseconds.
@@ -201,10 +201,10 @@
     pub account: Arc<str>,
     /// Part of the account's limits that the shares of the entries leave over.
     #[serde(rename = "r")]
-    pub rest: AccountShare,
+    pub remainder: AccountShare,
     /// `true` if an earlier incarnation of the agent has already admitted the request.
     #[serde(rename = "h")]
-    pub is_held: bool,
+    pub was_admitted: bool,
 }
 
 /// A message from an entry to an agent.
@@ -236,7 +236,7 @@
     ConfigVersion(ConfigVersion),
     /// Asks for the admission of a request of a client account.
     #[serde(rename = "g")]
-    AskAccount(AccountAsk),
+    QueryAccount(AccountAsk),
     /// Releases the admission of a request that has ended, or withdraws the query for it.
     #[serde(rename = "e")]
     ReleaseAccount(u64),
--- a/standins/src/chaos/arrivals.rs
+++ b/standins/src/chaos/arrivals.rs
@@ -41,7 +41,7 @@
         if self.is_calm {
             self.at(self.now + GONE_BOUND, Action::CheckGone(id.clone()));
         }
-        let event = Box::new(entry::Event::CallerGone(id.number));
+        let event = Box::new(entry::Event::CallerDisconnected(id.number));
         self.at(self.now, Action::Entry { entry, life, event });
     }
 
@@ -76,8 +76,8 @@
         service: service.into(),
         call,
         prompt_bytes: request.prompt.len() as u64,
-        answer_tokens: if request.is_order() { 0 } else { request.answer },
-        marks: marks.into_marks(),
+        max_answer_tokens: if request.is_order() { 0 } else { request.answer },
+        prefix_hashes: marks.into_marks(),
         body: request.prompt.clone().into(),
         repeatable: request.repeatable,
     }
--- a/standins/src/chaos/links.rs
+++ b/standins/src/chaos/links.rs
@@ -95,7 +95,7 @@
             return;
         }
         let (entry, life) = (state.entry, state.entry_life);
-        let event = Box::new(entry::Event::Agent(agent_name(state.agent), message));
+        let event = Box::new(entry::Event::AgentMessage(agent_name(state.agent), message));
         self.at(self.now, Action::Entry { entry, life, event });
     }
 
--- a/standins/src/chaos/world.rs
+++ b/standins/src/chaos/world.rs
@@ -12,7 +12,7 @@
 use rand::{Rng, SeedableRng};
 use shalelane::agent::{self, AgentCore, AgentTuning, StartRun};
 use shalelane::config::{Config, ConfigVersion};
-use shalelane::entry::account::{AccountTable, to_key};
+use shalelane::entry::account::{AccountTable, to_key_hash};
 use shalelane::entry::{self, EntryCore, EntryTuning};
 use shalelane::time::Tick;
 use shalelane::wire::{ToAgent, ToEntry};
@@ -227,7 +227,7 @@
 "#;
 
 pub(super) fn chaos_config(version: u64) -> Config {
-    let text = CONFIG.replace("SHORT", &to_key("short")).replace("LONG", &to_key("long"));
+    let text = CONFIG.replace("SHORT", &to_key_hash("short")).replace("LONG", &to_key_hash("long"));
     let config = Config::from_toml(&text).expect("a good configuration");
     Config { version: ConfigVersion(version), ..config }
 }
--- a/standins/src/compare.rs
+++ b/standins/src/compare.rs
@@ -88,7 +88,7 @@
         "random" => Some(TargetPick(Arc::new(|names| names.choose(&mut rand::rng()).cloned()))),
         _ => None,
     };
-    RoutePolicy { is_direct: name == "direct", pick }
+    RoutePolicy { allows_direct: name == "direct", pick }
 }
 
 /// The target whose engine held the least memory when last reported.
--- a/standins/src/fleet.rs
+++ b/standins/src/fleet.rs
@@ -9,7 +9,7 @@
 
 use shalelane::agent::daemon::AgentDaemon;
 use shalelane::config::ServiceKind;
-use shalelane::entry::account::to_key;
+use shalelane::entry::account::to_key_hash;
 use shalelane::entry::daemon::EntryDaemon;
 use shalelane::entry::{EntryTuning, RoutePolicy};
 use shalelane::hosts::{HostRecord, HostRole, HostState};
@@ -160,12 +160,12 @@
         store: store.to_string().into(),
         hosts: hosts.to_string().into(),
         peer_key: PEER_KEY.into(),
-        admin_key_sha256: Some(to_key(ADMIN_KEY).into()),
+        admin_key_sha256: Some(to_key_hash(ADMIN_KEY).into()),
         log_format: LogFormat::Off,
-        max_body: 16 * 1024 * 1024,
-        body_limit: Duration::from_secs(30),
+        max_body_bytes: 16 * 1024 * 1024,
+        body_timeout: Duration::from_secs(30),
         max_connections: 4096,
-        drain_limit: Duration::from_secs(60),
+        drain_timeout: Duration::from_secs(60),
     };
     let (daemon, address) = DaemonThread::spawn(name, move |address, stop| async move {
         let daemon = EntryDaemon::bind(settings).await.expect("ports");
@@ -199,7 +199,7 @@
         log_format: LogFormat::Off,
         piece_tokens: spec.piece_tokens,
         prefill_tokens: spec.prefill_tokens,
-        drain_limit: Duration::from_secs(60),
+        drain_timeout: Duration::from_secs(60),
     };
     let (daemon, address) = DaemonThread::spawn(name, move |address, stop| async move {
         let daemon = AgentDaemon::bind(settings).await.expect("port");
--- a/standins/src/slopes.rs
+++ b/standins/src/slopes.rs
@@ -14,7 +14,7 @@
 use shalelane::agent::{self, AgentCore, AgentTuning, ConnId, EngineFacts, RunEvent, RunUsage};
 use shalelane::config::manifest::Manifest;
 use shalelane::config::{AccountPolicy, Config, ConfigVersion, Urgency};
-use shalelane::entry::account::{AccountTable, to_key};
+use shalelane::entry::account::{AccountTable, to_key_hash};
 use shalelane::entry::{self, Arrival, EntryCore, EntryTuning};
 use shalelane::hosts::{HostDelta, HostRecord, HostRole, HostState};
 use shalelane::prefix::{MarkBuilder, PrefixMarks};
@@ -139,7 +139,7 @@
     let client_accounts = (0..accounts).map(|number| {
         let mut account = template.clone();
         account.name = format!("account-{number:04}").into();
-        account.key_sha256 = vec![to_key(&format!("key-{number}")).into()];
+        account.key_sha256 = vec![to_key_hash(&format!("key-{number}")).into()];
         account
     });
     Config { version: ConfigVersion(1), client_accounts: client_accounts.collect(), ..base }
@@ -199,8 +199,8 @@
         service: "service-3".into(),
         call: Call::Model { model: "canal-8b".into(), path: "/v1/completions".into() },
         prompt_bytes: prompt.len() as u64,
-        answer_tokens: 64,
-        marks: marks.into_marks(),
+        max_answer_tokens: 64,
+        prefix_hashes: marks.into_marks(),
         body: prompt.into(),
         repeatable: true,
     }
@@ -232,16 +232,16 @@
             ToAgent::Probe(probe) => {
                 self.probes += 1;
                 let answer = ProbeAnswer { number: probe.number, ..sample_answer() };
-                self.feed(entry::Event::Agent(target, ToEntry::ProbeAnswer(answer)));
+                self.feed(entry::Event::AgentMessage(target, ToEntry::ProbeAnswer(answer)));
             }
             ToAgent::Dispatch(dispatch) => {
                 let key = dispatch.attempt;
-                self.feed(entry::Event::Agent(target.clone(), ToEntry::Accepted(key)));
+                self.feed(entry::Event::AgentMessage(target.clone(), ToEntry::Accepted(key)));
                 let text = "an answer of some length";
                 let chunk = ToEntry::Chunk { attempt: key, offset: 0, text: text.into() };
-                self.feed(entry::Event::Agent(target.clone(), chunk));
+                self.feed(entry::Event::AgentMessage(target.clone(), chunk));
                 let done = Completion { length: text.len() as u64, ..Completion::default() };
-                self.feed(entry::Event::Agent(target, ToEntry::Done(key, done)));
+                self.feed(entry::Event::AgentMessage(target, ToEntry::Done(key, done)));
             }
             _ => {}
         }
@@ -283,7 +283,7 @@
 fn sample_answer() -> ProbeAnswer {
     ProbeAnswer {
         number: 1_000_000,
-        open: true,
+        is_available: true,
         wait_us: 20_000,
         prefill_us: 30_000,
         cached_tokens: 1_024,
@@ -318,7 +318,7 @@
         weight: 1,
         urgency: Urgency::Interactive,
         need: shalelane::wire::TokenNeed { prompt: 2_000, answer: 64 },
-        marks: sample_marks(2_000),
+        prefix_hashes: sample_marks(2_000),
         body_len: 0,
         remaining_us: 20_000_000,
         shards: Vec::new(),
@@ -362,7 +362,7 @@
         model: "canal-8b".into(),
         need: shalelane::wire::TokenNeed { prompt: tokens, answer: 64 },
         urgency: Urgency::Interactive,
-        marks: sample_marks(tokens),
+        prefix_hashes: sample_marks(tokens),
     }
 }
 
--- a/tests/account_gate.rs
+++ b/tests/account_gate.rs
@@ -50,8 +50,8 @@
             service: "canal-assistant".into(),
             call: Call::Model { model: "canal-8b".into(), path: "/v1/completions".into() },
             prompt_bytes: 400,
-            answer_tokens: 10,
-            marks: PrefixMarks::default(),
+            max_answer_tokens: 10,
+            prefix_hashes: PrefixMarks::default(),
             body: "ask".into(),
             repeatable: false,
         };
@@ -60,14 +60,14 @@
 
     fn answer(&mut self, agent: &Arc<str>, number: u64, wait_us: Option<u64>) -> Vec<Effect> {
         let answer = ToEntry::AccountAnswer { number, wait_us };
-        self.core.on_event(START, Event::Agent(agent.clone(), answer))
+        self.core.on_event(START, Event::AgentMessage(agent.clone(), answer))
     }
 }
 
 /// Returns the queried agent and the query.
 fn query_of(effects: &[Effect]) -> (Arc<str>, AccountAsk) {
     let query = effects.iter().find_map(|effect| match effect {
-        Effect::Send(agent, ToAgent::AskAccount(query)) => Some((agent.clone(), query.clone())),
+        Effect::Send(agent, ToAgent::QueryAccount(query)) => Some((agent.clone(), query.clone())),
         _ => None,
     });
     query.expect("an account query")
@@ -94,7 +94,7 @@
 fn a_request_beyond_the_share_waits_for_the_accounts_agent() {
     let mut world = QuotaWorld::new();
     let (agent, query) = query_of(&world.arrive(1, START));
-    assert_eq!((query.rest.per_second, query.rest.concurrent, query.is_held), (2.0, 4, false));
+    assert_eq!((query.remainder.per_second, query.remainder.concurrent, query.was_admitted), (2.0, 4, false));
     let (other, _) = query_of(&world.arrive(2, START));
     assert_eq!(agent, other, "both queries must go to one agent");
     let effects = world.answer(&agent, 1, None);
@@ -109,7 +109,7 @@
     let mut world = QuotaWorld::new();
     let (agent, _) = query_of(&world.arrive(1, START));
     world.answer(&agent, 1, None);
-    let effects = world.core.on_event(START, Event::CallerGone(1));
+    let effects = world.core.on_event(START, Event::CallerDisconnected(1));
     assert_eq!(released(&effects), [1]);
 }
 
@@ -117,7 +117,7 @@
 fn a_caller_that_disconnects_during_the_query_leaves_no_admission() {
     let mut world = QuotaWorld::new();
     let (agent, _) = query_of(&world.arrive(1, START));
-    assert_eq!(released(&world.core.on_event(START, Event::CallerGone(1))), [1]);
+    assert_eq!(released(&world.core.on_event(START, Event::CallerDisconnected(1))), [1]);
     assert_eq!(
         released(&world.answer(&agent, 1, None)),
         [1],
@@ -143,5 +143,5 @@
     world.answer(&agent, 1, None);
     let effects = world.core.on_event(START, Event::AgentUp(agent.clone(), Incarnation(2)));
     let (receiver, query) = query_of(&effects);
-    assert_eq!((receiver, query.number, query.is_held), (agent, 1, true));
+    assert_eq!((receiver, query.number, query.was_admitted), (agent, 1, true));
 }
--- a/tests/account_limits.rs
+++ b/tests/account_limits.rs
@@ -41,7 +41,7 @@
 
 fn policy() -> Rc<AccountPolicy> {
     let secret = "secret";
-    let config_text = CONFIG.replace("KEY", &shalelane::entry::account::to_key(secret));
+    let config_text = CONFIG.replace("KEY", &shalelane::entry::account::to_key_hash(secret));
     let config = Arc::new(Config::from_toml(&config_text).expect("invalid configuration"));
     AccountTable::from_config(&config).find(secret).expect("no account for the secret")
 }
@@ -86,7 +86,7 @@
             Err(fault) => {
                 let Some(rest) = fault.rest else { return };
                 let holder = (entry, number);
-                if self.quota.ask(&self.policy.name, rest, holder, now).is_err() {
+                if self.quota.admit(&self.policy.name, rest, holder, now).is_err() {
                     return;
                 }
                 true
--- a/tests/clock.rs
+++ b/tests/clock.rs
@@ -52,12 +52,12 @@
 fn a_suspension_is_reported_once() {
     let mut watch = SuspensionWatch::from_readers(boot, monotonic);
     run(SECOND * 60);
-    assert_eq!(watch.look(), None);
+    assert_eq!(watch.take_suspension(), None);
     suspend(SECOND * 3);
     run(SECOND);
-    assert_eq!(watch.look(), Some(SECOND * 3));
+    assert_eq!(watch.take_suspension(), Some(SECOND * 3));
     run(SECOND);
-    assert_eq!(watch.look(), None);
+    assert_eq!(watch.take_suspension(), None);
 }
 
 /// Compares the clock with `/proc/uptime`, which includes suspensions.
--- a/tests/regression/agent_fixture.rs
+++ b/tests/regression/agent_fixture.rs
@@ -69,7 +69,7 @@
         weight: 1,
         urgency: Urgency::Normal,
         need: TokenNeed { prompt, answer: 10 },
-        marks: PrefixMarks::default(),
+        prefix_hashes: PrefixMarks::default(),
         body_len: 0,
         remaining_us: 30_000_000,
         shards,
--- a/tests/regression/orphaned_reservation.rs
+++ b/tests/regression/orphaned_reservation.rs
@@ -18,7 +18,7 @@
     let cancelled: Vec<_> = effects
         .iter()
         .filter_map(|effect| match effect {
-            Effect::CancelStray(name) => Some(name.clone()),
+            Effect::CancelOrphan(name) => Some(name.clone()),
             _ => None,
         })
         .collect();
--- a/tests/regression/requests_that_crash_engines.rs
+++ b/tests/regression/requests_that_crash_engines.rs
@@ -70,7 +70,7 @@
     }
 
     fn feed_from_agent(&mut self, target: &Arc<str>, message: ToEntry) {
-        self.feed(Event::Agent(target.clone(), message));
+        self.feed(Event::AgentMessage(target.clone(), message));
     }
 
     fn answer_as_agent(&mut self, target: &Arc<str>, message: ToAgent) {
@@ -81,7 +81,7 @@
             ToAgent::Probe(probe) => {
                 let answer = ProbeAnswer {
                     number: probe.number,
-                    open: true,
+                    is_available: true,
                     wait_us: 0,
                     prefill_us: 0,
                     cached_tokens: 0,
@@ -121,8 +121,8 @@
             service: "canal-assistant".into(),
             call: Call::Model { model: "canal-8b".into(), path: "/v1/completions".into() },
             prompt_bytes: 400,
-            answer_tokens: 10,
-            marks: PrefixMarks::default(),
+            max_answer_tokens: 10,
+            prefix_hashes: PrefixMarks::default(),
             body: body.into(),
             repeatable: false,
         })));
@@ -151,7 +151,7 @@
         let Reply::Failed(failure) = fleet.request(CRASH) else {
             panic!("a request that crashes its engine cannot succeed")
         };
-        assert_eq!((failure.code, failure.verdict), (FailureCode::HeldBack, Verdict::NotRun));
+        assert_eq!((failure.code, failure.verdict), (FailureCode::Quarantined, Verdict::NotRun));
         assert!(failure.retry_after.is_some_and(|after| after > Duration::from_secs(500)));
     }
     assert_eq!(fleet.crashes, QUARANTINE_CRASHES);
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -22,7 +22,7 @@
     let invocation =
         EntrySettings::from_args(&args(&command_line), &env).expect("the settings are valid");
     let Invocation::Run(settings) = invocation else { panic!("the settings do not lead to a run") };
-    assert_eq!((settings.max_body, settings.max_connections), (1000, 9));
+    assert_eq!((settings.max_body_bytes, settings.max_connections), (1000, 9));
 }
 
 #[test]
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -178,7 +178,7 @@
     pub fn add_entry(&mut self, index: usize) {
         let (store, hosts) = (self.store.server.address.to_string(), self.hosts.server.address);
         let (hosts, name) = (hosts.to_string(), format!("entry-{index}"));
-        let key = shalelane::entry::account::to_key(ADMIN_KEY);
+        let key = shalelane::entry::account::to_key_hash(ADMIN_KEY);
         let args = [
             "--name",
             &name,
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -28,7 +28,7 @@
             model: "model".into(),
             need,
             urgency: Urgency::Batch,
-            marks: marks.clone(),
+            prefix_hashes: marks.clone(),
         }),
         ToAgent::Dispatch(Dispatch {
             attempt: key,
@@ -38,7 +38,7 @@
             weight: 2,
             urgency: Urgency::Normal,
             need,
-            marks,
+            prefix_hashes: marks,
             body_len: 17,
             remaining_us: 1_000,
             shards: Vec::new(),
