--- a/src/account_gate.rs
+++ b/src/account_quota.rs
@@ -105,20 +105,20 @@
 
 /// Quotas that an agent grants to client accounts. `H` identifies a request.
 #[derive(Debug)]
-pub struct AccountGate<H> {
+pub struct AccountQuota<H> {
     accounts: HashMap<Arc<str>, AccountState>,
     /// Admitted requests, with their accounts.
     holders: HashMap<H, Arc<str>>,
     started_at: Option<Tick>,
 }
 
-impl<H> Default for AccountGate<H> {
+impl<H> Default for AccountQuota<H> {
     fn default() -> Self {
-        AccountGate { accounts: HashMap::new(), holders: HashMap::new(), started_at: None }
+        AccountQuota { accounts: HashMap::new(), holders: HashMap::new(), started_at: None }
     }
 }
 
-impl<H: Copy + Eq + Hash> AccountGate<H> {
+impl<H: Copy + Eq + Hash> AccountQuota<H> {
     /// Admits a request of an account, out of the remainder that the shares of the entries
     /// leave over.
     ///
@@ -145,7 +145,7 @@
     }
 
     /// Records a request that an earlier incarnation of this agent admitted.
-    pub fn note_held(&mut self, account: &Arc<str>, holder: H, now: Tick) {
+    pub fn record_admitted(&mut self, account: &Arc<str>, holder: H, now: Tick) {
         let admits_from = self.admits_from(now);
         if self.account_mut(account, admits_from).is_some() {
             self.add_holder(account, holder);
--- a/src/agent/cache.rs
+++ b/src/agent/cache.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::id::AttemptId;
-use crate::prefix::{BLOCK_BYTES, PrefixMark, PrefixMarks};
+use crate::prefix::{BLOCK_BYTES, PrefixHash, PrefixHashes};
 
 /// Assumed bytes of text per token.
 const BYTES_PER_TOKEN: u64 = 4;
@@ -32,14 +32,14 @@
 pub struct PrefixIndex {
     last_sequence: u64,
     blocks_by_hash: HashMap<u64, u32>,
-    runs: HashMap<String, PrefixMarks>,
+    runs: HashMap<String, PrefixHashes>,
     run_order: VecDeque<String>,
     gaps: u64,
 }
 
 impl PrefixIndex {
     /// Stores the prefix hashes of a run that was started at the engine.
-    pub fn track_run(&mut self, id: &AttemptId, hashes: &PrefixMarks) {
+    pub fn track_run(&mut self, id: &AttemptId, hashes: &PrefixHashes) {
         if hashes.0.is_empty() {
             return;
         }
@@ -57,7 +57,7 @@
         let Some(hashes) = self.runs.remove(run) else {
             return;
         };
-        for PrefixMark(_, hash) in hashes.0 {
+        for PrefixHash(_, hash) in hashes.0 {
             self.blocks_by_hash.remove(&hash);
         }
     }
@@ -77,7 +77,7 @@
             return;
         };
         let cached_blocks = event.tokens * BYTES_PER_TOKEN / BLOCK_BYTES as u64;
-        for PrefixMark(blocks, hash) in &hashes.0 {
+        for PrefixHash(blocks, hash) in &hashes.0 {
             if u64::from(*blocks) > cached_blocks {
                 self.blocks_by_hash.remove(hash);
             } else if self.blocks_by_hash.len() < MAX_HASHES {
@@ -88,7 +88,7 @@
 
     /// Returns the tokens of a prompt that are assumed to be cached.
     #[must_use]
-    pub fn cached_tokens(&self, hashes: &PrefixMarks, prompt_tokens: u64) -> u64 {
+    pub fn cached_tokens(&self, hashes: &PrefixHashes, prompt_tokens: u64) -> u64 {
         let known =
             hashes.0.iter().rev().find(|prefix| self.blocks_by_hash.contains_key(&prefix.1));
         let blocks = known.map_or(0, |prefix| u64::from(prefix.0));
--- a/src/agent/core.rs
+++ b/src/agent/core.rs
@@ -11,7 +11,7 @@
 use super::predict::RatePredictor;
 use super::queue::FairShare;
 use super::run::{Run, RunState};
-use crate::account_gate::AccountGate;
+use crate::account_quota::AccountQuota;
 use crate::config::ConfigVersion;
 use crate::id::{AttemptId, AttemptKey, ProcessId, RequestId};
 use crate::invariant::InvariantCheck;
@@ -71,7 +71,7 @@
     pub(super) stopped: bool,
     pub(super) config_version: ConfigVersion,
     /// Quotas of client accounts that this agent grants.
-    pub(super) quota: AccountGate<(ConnId, u64)>,
+    pub(super) quota: AccountQuota<(ConnId, u64)>,
     pub(super) invariant: InvariantCheck,
     pub(super) counts: AgentCounts,
     pub(super) effects: Vec<Effect>,
@@ -102,7 +102,7 @@
             leaving: false,
             stopped: false,
             config_version: ConfigVersion::default(),
-            quota: AccountGate::default(),
+            quota: AccountQuota::default(),
             invariant,
             counts: AgentCounts::default(),
             effects: vec![Effect::Reset],
@@ -280,7 +280,7 @@
         let AccountAsk { number, account, remainder: rest, was_admitted: is_held } = request;
         let holder = (conn, *number);
         if *is_held {
-            return self.quota.note_held(account, holder, now);
+            return self.quota.record_admitted(account, holder, now);
         }
         let wait = self.quota.admit(account, *rest, holder, now).err();
         let wait_us = wait.map(|wait| wait.as_micros() as u64);
--- a/src/agent/daemon.rs
+++ b/src/agent/daemon.rs
@@ -22,11 +22,11 @@
 use crate::error::Result;
 use crate::id::{AttemptId, ProcessId};
 use crate::log::new_logger;
-use crate::metrics::TurnMeter;
-use crate::peer::{LinkSender, LinkSide, OpenWork, PeerIdentity, accept, link_queue, run_link};
+use crate::metrics::IterationMeter;
+use crate::peer::{LinkSender, LinkSide, OpenAttempts, PeerIdentity, accept, link_queue, run_link};
 use crate::settings::AgentSettings;
 use crate::time::Tick;
-use crate::timeline::TimeLine;
+use crate::timeline::EventTimeline;
 use crate::web::accept_next;
 use crate::wire::{Framed, ToAgent};
 
@@ -58,7 +58,7 @@
     pub(super) open_links: Cell<usize>,
     pub(super) engine: EngineClient,
     pub(super) plain: PlainClient,
-    pub(super) timeline: RefCell<TimeLine>,
+    pub(super) timeline: RefCell<EventTimeline>,
     pub(super) log: Logger,
     pub(super) metrics: AgentMetrics,
 }
@@ -123,7 +123,7 @@
             open_links: Cell::new(0),
             engine: EngineClient::new(settings.target.clone()),
             plain: PlainClient::new(settings.target.clone()),
-            timeline: RefCell::new(TimeLine::new(process.clone(), TIMELINE_CAPACITY)),
+            timeline: RefCell::new(EventTimeline::new(process.clone(), TIMELINE_CAPACITY)),
             metrics: AgentMetrics::new(),
             log,
             settings,
@@ -151,7 +151,7 @@
     shared: Rc<AgentShared>,
     core: AgentCore,
     clock: ProcessClock,
-    meter: TurnMeter,
+    meter: IterationMeter,
     calls: Rc<RefCell<HashMap<AttemptId, TargetCall>>>,
     stopped: bool,
 }
@@ -167,7 +167,7 @@
             core: AgentCore::new(process, tuning),
             shared,
             clock: ProcessClock::new(),
-            meter: TurnMeter::default(),
+            meter: IterationMeter::default(),
             calls: Rc::default(),
             stopped: false,
         }
@@ -381,7 +381,7 @@
     shared.links.borrow_mut().insert(conn, sender);
     shared.open_links.set(shared.open_links.get() + 1);
     shared.send(Event::PeerUp(conn, peer));
-    let work = RefCell::new(OpenWork::default());
+    let work = RefCell::new(OpenAttempts::default());
     let on_message = |message: ToAgent| shared.send(Event::Peer(conn, message));
     run_link(socket, queue, LinkSide::Accepting, &work, on_message).await;
     shared.links.borrow_mut().remove(&conn);
--- a/src/agent/metrics.rs
+++ b/src/agent/metrics.rs
@@ -11,26 +11,26 @@
 
 use super::core::AgentCore;
 use super::daemon::AgentShared;
-use crate::metrics::{CountMirror, MetricsPage};
-use crate::web::{WebResponse, accept_next, to_response, answer_json, serve_connection};
+use crate::metrics::{MetricsRegistry, MirroredCounter};
+use crate::web::{WebResponse, accept_next, serve_connection, to_json_response, to_response};
 
 #[derive(Debug)]
 struct AgentCounters {
-    started: CountMirror,
-    done: CountMirror,
-    failed: CountMirror,
-    refused: CountMirror,
-    cancelled: CountMirror,
-    orphans: CountMirror,
-    probes: CountMirror,
-    cache_gaps: CountMirror,
-    broken_invariants: CountMirror,
+    started: MirroredCounter,
+    done: MirroredCounter,
+    failed: MirroredCounter,
+    refused: MirroredCounter,
+    cancelled: MirroredCounter,
+    orphans: MirroredCounter,
+    probes: MirroredCounter,
+    cache_gaps: MirroredCounter,
+    broken_invariants: MirroredCounter,
 }
 
 /// Metrics of an agent.
 #[derive(Debug)]
 pub(super) struct AgentMetrics {
-    registry: MetricsPage,
+    registry: MetricsRegistry,
     counters: AgentCounters,
     open_runs: IntGauge,
     leased_tokens: IntGauge,
@@ -39,9 +39,9 @@
 
 impl AgentMetrics {
     pub(super) fn new() -> Self {
-        let registry = MetricsPage::default();
+        let registry = MetricsRegistry::default();
         let count =
-            |name: &str, help: &str| registry.add_count(&format!("shalelane_agent_{name}"), help);
+            |name: &str, help: &str| registry.add_counter(&format!("shalelane_agent_{name}"), help);
         let counters = AgentCounters {
             started: count("started_total", "Runs given to the target"),
             done: count("done_total", "Whole answers"),
@@ -99,14 +99,16 @@
 fn handle(shared: &AgentShared, request: &Request<Incoming>) -> WebResponse {
     match (request.method(), request.uri().path()) {
         (&Method::GET, "/healthz") => to_response(StatusCode::OK, "text/plain", "ok\n"),
-        (&Method::GET, "/metrics") => {
-            to_response(StatusCode::OK, "text/plain; version=0.0.4", shared.metrics.registry.to_text())
-        }
+        (&Method::GET, "/metrics") => to_response(
+            StatusCode::OK,
+            "text/plain; version=0.0.4",
+            shared.metrics.registry.to_text(),
+        ),
         (&Method::GET, "/timeline") => {
             let timeline = shared.timeline.borrow();
             let request_id = request.uri().query().and_then(|query| query.strip_prefix("request="));
             let records: Vec<_> = timeline.select(request_id.unwrap_or("")).collect();
-            answer_json(StatusCode::OK, &records)
+            to_json_response(StatusCode::OK, &records)
         }
         _ => to_response(StatusCode::NOT_FOUND, "text/plain", "no such path\n"),
     }
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -15,7 +15,7 @@
 use crate::config::diff::ConfigDiff;
 use crate::config::{Config, ConfigVersion};
 use crate::entry::admin::{AppliedConfig, EntryStatus};
-use crate::entry::why::DecisionLog;
+use crate::entry::decision_log::DecisionLog;
 use crate::error::{Error, ErrorCode, Result};
 use crate::settings::{EnvLookup, Invocation, to_help, to_version};
 use crate::timeline::EventRecord;
--- a/src/entry/account.rs
+++ b/src/entry/account.rs
@@ -7,7 +7,7 @@
 
 use sha2::{Digest, Sha256};
 
-use crate::account_gate::{AccountShare, ShareUsage};
+use crate::account_quota::{AccountShare, ShareUsage};
 use crate::config::{AccountPolicy, Config, ServiceKind};
 use crate::hex::to_hex;
 use crate::time::Tick;
--- a/src/entry/admin.rs
+++ b/src/entry/admin.rs
@@ -15,14 +15,15 @@
 
 use super::account::to_key_hash;
 use super::daemon::{EntryShared, current_config};
-use super::why::DecisionLog;
+use super::decision_log::DecisionLog;
 use crate::client::{HttpClient, full};
 use crate::config::{Config, ConfigVersion};
 use crate::error::Error;
 use crate::id::RequestId;
 use crate::verdict::Verdict;
 use crate::web::{
-    WebResponse, accept_next, to_response, answer_fault, answer_json, bearer_token, read_body, serve_connection,
+    WebResponse, accept_next, bearer_token, read_body, serve_connection, to_error_response,
+    to_json_response, to_response,
 };
 
 /// Maximum size of a configuration, in bytes.
@@ -99,7 +100,7 @@
         Err(fault) => Err(fault),
     };
     result.unwrap_or_else(|fault| {
-        answer_fault(fault.status, fault.code, &fault.message, Verdict::NotRun, "", None)
+        to_error_response(fault.status, fault.code, &fault.message, Verdict::NotRun, "", None)
     })
 }
 
@@ -113,7 +114,10 @@
     Err(AdminFault::new(StatusCode::UNAUTHORIZED, "unknown_key", "not an operator's key"))
 }
 
-async fn route(shared: &Rc<EntryShared>, request: Request<Incoming>) -> Result<WebResponse, AdminFault> {
+async fn route(
+    shared: &Rc<EntryShared>,
+    request: Request<Incoming>,
+) -> Result<WebResponse, AdminFault> {
     let path = request.uri().path().to_owned();
     match (request.method(), path.as_str()) {
         (&Method::GET, "/admin/v1/status") => show_status(shared).await,
@@ -150,12 +154,12 @@
         }
     });
     let status = status.await.ok_or_else(stopping_fault)?;
-    Ok(answer_json(StatusCode::OK, &status))
+    Ok(to_json_response(StatusCode::OK, &status))
 }
 
 async fn show_entries(shared: &Rc<EntryShared>) -> Result<WebResponse, AdminFault> {
     let entries = shared.query_core(|core| core.table().entry_addresses()).await;
-    Ok(answer_json(StatusCode::OK, &entries.ok_or_else(stopping_fault)?))
+    Ok(to_json_response(StatusCode::OK, &entries.ok_or_else(stopping_fault)?))
 }
 
 #[cold]
@@ -191,13 +195,13 @@
         AdminFault::new(StatusCode::UNPROCESSABLE_ENTITY, "bad_config", error.to_string())
     })?;
     if dry_run {
-        return Ok(answer_json(StatusCode::OK, &AppliedConfig { version: expected, dry_run }));
+        return Ok(to_json_response(StatusCode::OK, &AppliedConfig { version: expected, dry_run }));
     }
     let pushed = shared.config_store.lock().await.push(&config, expected).await;
     let version = pushed.map_err(|error| to_push_fault(&error))?;
     info!(shared.log, "configuration accepted"; "version" => version.0);
     shared.pull_config();
-    let mut response = answer_json(StatusCode::OK, &AppliedConfig { version, dry_run });
+    let mut response = to_json_response(StatusCode::OK, &AppliedConfig { version, dry_run });
     response.headers_mut().insert(ETAG, to_etag(version));
     Ok(response)
 }
@@ -241,7 +245,7 @@
     }
     let found = shared.query_core(move |core| core.decision_log(id.number).cloned()).await;
     match found.ok_or_else(stopping_fault)? {
-        Some(log) => Ok(answer_json(StatusCode::OK, &DecisionsAnswer { request: text, log })),
+        Some(log) => Ok(to_json_response(StatusCode::OK, &DecisionsAnswer { request: text, log })),
         None => Err(AdminFault::new(
             StatusCode::NOT_FOUND,
             "no_record",
@@ -281,5 +285,5 @@
     let requested = query.split('&').find_map(|pair| pair.strip_prefix("request="));
     let timeline = shared.timeline.borrow();
     let records: Vec<_> = timeline.select(requested.unwrap_or("")).collect();
-    answer_json(StatusCode::OK, &records)
+    to_json_response(StatusCode::OK, &records)
 }
--- a/src/entry/admission.rs
+++ b/src/entry/admission.rs
@@ -7,7 +7,7 @@
 use super::account::LimitFault;
 use super::core::{EntryCore, Timer, not_run_failure};
 use super::event::{Arrival, Effect, FailureCode, Reply};
-use crate::account_gate::AccountShare;
+use crate::account_quota::AccountShare;
 use crate::time::Tick;
 use crate::wire::{AccountAsk, ToAgent, TokenNeed};
 
@@ -77,7 +77,8 @@
         is_held: bool,
     ) {
         let account = arrival.policy.name.clone();
-        let query = AccountAsk { number: arrival.number, account, remainder: rest, was_admitted: is_held };
+        let query =
+            AccountAsk { number: arrival.number, account, remainder: rest, was_admitted: is_held };
         self.effects.push(Effect::Send(agent.clone(), ToAgent::QueryAccount(query)));
     }
 
--- a/src/entry/answers.rs
+++ b/src/entry/answers.rs
@@ -10,7 +10,9 @@
 use super::caller::CallerHandle;
 use super::event::{Failure, FailureCode, Reply};
 use crate::verdict::Verdict;
-use crate::web::{WebResponse, AnswerBody, FaultBody, PartStream, to_response, answer_fault, set_verdict};
+use crate::web::{
+    ChunkStream, ErrorBody, ResponseBody, WebResponse, set_verdict, to_error_response, to_response,
+};
 use crate::wire::Completion;
 
 pub(super) fn to_status(code: FailureCode) -> StatusCode {
@@ -28,7 +30,7 @@
 
 pub(super) fn answer_failure(failure: &Failure, id: &str) -> WebResponse {
     let (status, code) = (to_status(failure.code), failure.code.to_string());
-    answer_fault(status, &code, &failure.message, failure.verdict, id, failure.retry_after)
+    to_error_response(status, &code, &failure.message, failure.verdict, id, failure.retry_after)
 }
 
 /// Format of the answer to one model request.
@@ -180,7 +182,8 @@
         }
     });
     let guard = Box::new(AbortGuard(writer));
-    let mut response = Response::new(AnswerBody::Streamed(PartStream { chunks: parts, _guard: guard }));
+    let mut response =
+        Response::new(ResponseBody::Streamed(ChunkStream { chunks: parts, _guard: guard }));
     let headers = response.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/event-stream"));
     headers.insert(hyper::header::CACHE_CONTROL, HeaderValue::from_static("no-store"));
@@ -219,7 +222,7 @@
         }
         Reply::Failed(failure) => {
             let code = failure.code.to_string();
-            let body = FaultBody::new(&code, &failure.message, failure.verdict, &answer_format.id);
+            let body = ErrorBody::new(&code, &failure.message, failure.verdict, &answer_format.id);
             let json = serde_json::to_vec(&body).unwrap_or_default();
             let _ = parts.send(Bytes::from_static(b"event: error\n"));
             let _ = parts.send(to_sse(&json));
--- a/src/entry/attempts.rs
+++ b/src/entry/attempts.rs
@@ -6,16 +6,16 @@
 use bytes::Bytes;
 
 use super::core::EntryCore;
+use super::decision_log::DecisionStep;
 use super::direct::MAX_DIRECT_WAIT;
 use super::event::{Effect, FailureCode, Reply};
 use super::request::Phase;
-use super::why::DecisionStep;
 use crate::id::{AttemptKey, Incarnation};
 use crate::mutant::{Mutant, is_on};
 use crate::time::Tick;
 use crate::verdict::Verdict;
 use crate::wire::{
-    BODY_FRAME, Call, Completion, Dispatch, Refusal, Resume, Shard, ToAgent, ToEntry,
+    BODY_FRAME_BYTES, Call, Completion, Dispatch, Refusal, Resume, Shard, ToAgent, ToEntry,
 };
 
 /// Fraction of the remaining time that is subtracted from the agent's deadline, so that its
@@ -73,7 +73,7 @@
     pub(super) fn send_body(&mut self, target: &Arc<str>, key: AttemptKey, body: &Bytes) {
         let mut start = 0;
         while start < body.len() {
-            let end = (start + BODY_FRAME).min(body.len());
+            let end = (start + BODY_FRAME_BYTES).min(body.len());
             let part = ToAgent::Body(key, body.slice(start..end));
             self.effects.push(Effect::Send(target.clone(), part));
             start = end;
--- a/src/entry/ask.rs
+++ b/src/entry/completion_request.rs
@@ -9,7 +9,7 @@
 
 use super::account::AccountTable;
 use crate::config::{AccountPolicy, Model};
-use crate::prefix::{MarkBuilder, PrefixMarks};
+use crate::prefix::{PrefixHasher, PrefixHashes};
 use crate::verdict::Verdict;
 
 /// Maximum number of tokens in an answer if the request does not set it.
@@ -55,7 +55,7 @@
     /// Whether a stream is to end with an event that reports the token usage.
     pub has_usage_event: bool,
     /// Hashes of the prompt's prefixes.
-    pub prefix_hashes: PrefixMarks,
+    pub prefix_hashes: PrefixHashes,
 }
 
 #[derive(Deserialize)]
@@ -157,7 +157,7 @@
         let model = find_model(&parsed, policy, table)?;
         check_choice("adapter", parsed.adapter.as_deref(), &policy.adapters, &model.adapters)?;
         check_choice("version", parsed.version.as_deref(), &policy.versions, &model.versions)?;
-        let mut hasher = MarkBuilder::new(&policy.name);
+        let mut hasher = PrefixHasher::new(&policy.name);
         let mut prompt_bytes = 0;
         for text in prompt_texts(&parsed)? {
             prompt_bytes += text.len() as u64;
@@ -170,7 +170,7 @@
             max_answer_tokens,
             stream: parsed.stream,
             has_usage_event: parsed.stream_options.is_some_and(|options| options.include_usage),
-            prefix_hashes: hasher.into_marks(),
+            prefix_hashes: hasher.into_hashes(),
         })
     }
 }
--- a/src/entry/core.rs
+++ b/src/entry/core.rs
@@ -9,12 +9,12 @@
 
 use super::account::AccountLimits;
 use super::admission::{AgentGrant, PendingAdmission};
+use super::decision_log::{DecisionArchive, DecisionLog, DecisionStep};
 use super::direct::DirectHistory;
 use super::event::{Arrival, Effect, EntryTuning, Event, Failure, FailureCode, Reply};
 use super::request::{Phase, Request};
 use super::retry::RetryBudget;
 use super::route::RouteTable;
-use super::why::{DecisionArchive, DecisionLog, DecisionStep};
 use crate::config::{Config, ConfigVersion};
 use crate::id::{Incarnation, ProcessId};
 use crate::invariant::InvariantCheck;
--- a/src/entry/daemon.rs
+++ b/src/entry/daemon.rs
@@ -27,12 +27,12 @@
 use crate::id::ProcessId;
 use crate::link_pool::{LinkEvent, LinkPool};
 use crate::log::new_logger;
-use crate::metrics::TurnMeter;
+use crate::metrics::IterationMeter;
 use crate::peer::PeerIdentity;
 use crate::settings::EntrySettings;
 use crate::store::StoreClient;
 use crate::time::Tick;
-use crate::timeline::TimeLine;
+use crate::timeline::EventTimeline;
 
 /// Maximum number of events in the time line.
 const TIMELINE_CAPACITY: usize = 8_192;
@@ -63,8 +63,8 @@
     pub(super) process: ProcessId,
     pub(super) accounts: RefCell<Rc<AccountTable>>,
     pub(super) replies: RefCell<HashMap<u64, mpsc::UnboundedSender<Reply>>>,
-    pub(super) timeline: RefCell<TimeLine>,
-    pub(super) meter: TurnMeter,
+    pub(super) timeline: RefCell<EventTimeline>,
+    pub(super) meter: IterationMeter,
     pub(super) metrics: super::metrics::EntryMetrics,
     pub(super) draining: Cell<bool>,
     pub(super) connections: Cell<usize>,
@@ -169,8 +169,8 @@
             process: process.clone(),
             accounts: RefCell::default(),
             replies: RefCell::default(),
-            timeline: RefCell::new(TimeLine::new(process.clone(), TIMELINE_CAPACITY)),
-            meter: TurnMeter::default(),
+            timeline: RefCell::new(EventTimeline::new(process.clone(), TIMELINE_CAPACITY)),
+            meter: IterationMeter::default(),
             metrics: super::metrics::EntryMetrics::new(),
             draining: Cell::new(false),
             connections: Cell::new(0),
--- a/src/entry/event.rs
+++ b/src/entry/event.rs
@@ -12,7 +12,7 @@
 use crate::config::{AccountPolicy, Config};
 use crate::hosts::HostDelta;
 use crate::id::Incarnation;
-use crate::prefix::PrefixMarks;
+use crate::prefix::PrefixHashes;
 use crate::verdict::Verdict;
 use crate::wire::{Call, Completion, ToAgent, ToEntry};
 
@@ -32,7 +32,7 @@
     /// Maximum number of tokens in the answer.
     pub max_answer_tokens: u64,
     /// Hashes of the prompt's prefixes.
-    pub prefix_hashes: PrefixMarks,
+    pub prefix_hashes: PrefixHashes,
     /// The caller's body, unchanged.
     pub body: Bytes,
     /// Whether the request may be retried after an attempt that may have run.
--- a/src/entry/group.rs
+++ b/src/entry/group.rs
@@ -8,9 +8,9 @@
 use std::sync::Arc;
 
 use super::core::{EntryCore, Timer};
+use super::decision_log::DecisionStep;
 use super::event::{Effect, FailureCode};
 use super::request::{Member, Offer, Phase};
-use super::why::DecisionStep;
 use crate::id::AttemptKey;
 use crate::time::Tick;
 use crate::verdict::Verdict;
--- a/src/entry/http.rs
+++ b/src/entry/http.rs
@@ -12,18 +12,18 @@
 use tokio::task::spawn_local;
 
 use super::answers::{AnswerFormat, answer_failure, answer_stream, answer_whole};
-use super::ask::{CompletionRequest, RequestFault};
 use super::caller::CallerHandle;
+use super::completion_request::{CompletionRequest, RequestFault};
 use super::daemon::EntryShared;
 use super::event::{Arrival, Reply};
 use crate::claim::ClaimKey;
 use crate::claim_store::ClaimOutcome;
 use crate::config::AccountPolicy;
-use crate::prefix::PrefixMarks;
+use crate::prefix::PrefixHashes;
 use crate::verdict::Verdict;
 use crate::web::{
-    WebResponse, BodyFault, accept_next, to_response, answer_fault, answer_json, bearer_token, read_body,
-    serve_connection, set_verdict,
+    BodyError, WebResponse, accept_next, bearer_token, read_body, serve_connection, set_verdict,
+    to_error_response, to_json_response, to_response,
 };
 use crate::wire::Call;
 
@@ -110,7 +110,7 @@
 
 fn answer_request_fault(fault: &RequestFault, id: &str) -> WebResponse {
     let status = StatusCode::from_u16(fault.status).unwrap_or(StatusCode::BAD_REQUEST);
-    answer_fault(status, fault.code, &fault.message, fault.verdict, id, fault.retry_after)
+    to_error_response(status, fault.code, &fault.message, fault.verdict, id, fault.retry_after)
 }
 
 async fn handle_api_call(
@@ -169,20 +169,22 @@
     let config = super::daemon::current_config(shared);
     let models = policy.models.iter().filter(|name| config.model(name).is_some());
     let data = models.map(|name| ModelEntry { id: name, object: "model", owned_by: "shalelane" });
-    answer_json(StatusCode::OK, &ModelList { object: "list", data: data.collect() })
+    to_json_response(StatusCode::OK, &ModelList { object: "list", data: data.collect() })
 }
 
 async fn read_limited_body(shared: &EntryShared, body: Incoming) -> Result<Bytes, RequestFault> {
     let settings = &shared.settings;
-    read_body(body, settings.max_body_bytes, settings.body_timeout).await.map_err(|fault| match fault {
-        BodyFault::TooLarge => {
-            let text = format!("the body is larger than {} bytes", settings.max_body_bytes);
-            RequestFault::new(413, "body_too_large", text)
-        }
-        BodyFault::TimedOut => {
-            RequestFault::new(408, "body_too_slow", "the body did not arrive in time")
+    read_body(body, settings.max_body_bytes, settings.body_timeout).await.map_err(|fault| {
+        match fault {
+            BodyError::TooLarge => {
+                let text = format!("the body is larger than {} bytes", settings.max_body_bytes);
+                RequestFault::new(413, "body_too_large", text)
+            }
+            BodyError::TimedOut => {
+                RequestFault::new(408, "body_too_slow", "the body did not arrive in time")
+            }
+            BodyError::Aborted => RequestFault::new(400, "broken_body", "the body broke off"),
         }
-        BodyFault::Aborted => RequestFault::new(400, "broken_body", "the body broke off"),
     })
 }
 
@@ -284,7 +286,7 @@
         call,
         prompt_bytes: 0,
         max_answer_tokens: 0,
-        prefix_hashes: PrefixMarks::default(),
+        prefix_hashes: PrefixHashes::default(),
         body,
         // A method that is not safe may have effects. Only the configuration can declare it
         // repeatable, by not listing the path in `not_repeatable`.
--- a/src/entry/metrics.rs
+++ b/src/entry/metrics.rs
@@ -5,29 +5,29 @@
 use prometheus::{HistogramVec, IntGauge};
 
 use super::core::EntryCore;
-use crate::metrics::{CountMirror, MetricsPage, length_class};
+use crate::metrics::{MetricsRegistry, MirroredCounter, length_class};
 
 #[derive(Debug)]
 struct EntryCounters {
-    admitted: CountMirror,
-    finished: CountMirror,
-    failed: CountMirror,
-    over_limit: CountMirror,
-    callers_gone: CountMirror,
-    dispatched: CountMirror,
-    direct: CountMirror,
-    refused: CountMirror,
-    retried: CountMirror,
-    probes: CountMirror,
-    groups: CountMirror,
-    resumed: CountMirror,
-    broken_invariants: CountMirror,
+    admitted: MirroredCounter,
+    finished: MirroredCounter,
+    failed: MirroredCounter,
+    over_limit: MirroredCounter,
+    callers_gone: MirroredCounter,
+    dispatched: MirroredCounter,
+    direct: MirroredCounter,
+    refused: MirroredCounter,
+    retried: MirroredCounter,
+    probes: MirroredCounter,
+    groups: MirroredCounter,
+    resumed: MirroredCounter,
+    broken_invariants: MirroredCounter,
 }
 
 /// Metrics that an entry exposes.
 #[derive(Debug)]
 pub(super) struct EntryMetrics {
-    registry: MetricsPage,
+    registry: MetricsRegistry,
     counters: EntryCounters,
     open_requests: IntGauge,
     known_targets: IntGauge,
@@ -38,9 +38,9 @@
 
 impl EntryMetrics {
     pub(super) fn new() -> Self {
-        let registry = MetricsPage::default();
+        let registry = MetricsRegistry::default();
         let count =
-            |name: &str, help: &str| registry.add_count(&format!("shalelane_entry_{name}"), help);
+            |name: &str, help: &str| registry.add_counter(&format!("shalelane_entry_{name}"), help);
         let counters = EntryCounters {
             admitted: count("admitted_total", "Requests let in"),
             finished: count("finished_total", "Whole answers"),
@@ -66,7 +66,7 @@
                 "longest_turn_us",
                 "Longest turn of the loop, in microseconds",
             ),
-            first_token: registry.add_first_token(
+            first_token: registry.add_first_token_histogram(
                 "shalelane_entry_first_token_seconds",
                 "Time to the first token, by prompt length",
             ),
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -9,11 +9,12 @@
 pub mod admin;
 mod admission;
 mod answers;
-pub mod ask;
 mod attempts;
 mod caller;
+pub mod completion_request;
 mod core;
 pub mod daemon;
+pub mod decision_log;
 mod direct;
 mod event;
 mod group;
@@ -25,7 +26,6 @@
 mod request;
 mod retry;
 pub mod route;
-pub mod why;
 
 pub use self::core::{EntryCore, EntryCounts};
 pub use self::event::{
--- a/src/entry/probing.rs
+++ b/src/entry/probing.rs
@@ -4,11 +4,11 @@
 use std::time::Duration;
 
 use super::core::{EntryCore, Timer};
+use super::decision_log::DecisionStep;
 use super::event::{Effect, FailureCode};
 use super::request::{Offer, Phase};
 use super::retry::to_backoff;
 use super::route::RouteQuery;
-use super::why::DecisionStep;
 use crate::time::Tick;
 use crate::wire::{Call, Probe, ProbeAnswer, Refusal, ToAgent};
 
--- a/src/entry/request.rs
+++ b/src/entry/request.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use super::admission::AgentGrant;
+use super::decision_log::{DecisionLog, DecisionStep};
 use super::event::Arrival;
-use super::why::{DecisionLog, DecisionStep};
 use crate::id::{AttemptKey, Incarnation};
 use crate::time::Tick;
 use crate::verdict::Verdict;
--- a/src/error.rs
+++ b/src/error.rs
@@ -82,7 +82,7 @@
     /// Creates an error about an unexpected response of the platform.
     #[cold]
     #[must_use]
-    pub fn from_answer(status: u16, text: impl Into<String>) -> Self {
+    pub fn from_response(status: u16, text: impl Into<String>) -> Self {
         Error::from_code(ErrorCode::Status { status, text: text.into() })
     }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -13,7 +13,7 @@
 //!
 //! A caller sends a completion request to an entry. The entry identifies the
 //! client account by its key, parses the body without copying the prompt
-//! ([`entry::ask`]), and admits the request within the account's limits
+//! ([`entry::completion_request`]), and admits the request within the account's limits
 //! ([`entry::account`]). It probes the agents of a few targets
 //! ([`entry::route`], [`wire::Probe`]) and dispatches the request to the agent
 //! that predicts the earliest first token ([`wire::Dispatch`]).
@@ -66,7 +66,7 @@
 //! `standins` run the same cores in virtual time. The cores check their own
 //! invariants ([`invariant`]).
 
-pub mod account_gate;
+pub mod account_quota;
 pub mod agent;
 pub mod claim;
 pub mod claim_store;
--- a/src/link_pool.rs
+++ b/src/link_pool.rs
@@ -10,7 +10,7 @@
 
 use crate::id::Incarnation;
 use crate::peer::{
-    LinkQueue, LinkSender, LinkSide, OpenWork, PeerIdentity, connect, link_queue, run_link,
+    LinkQueue, LinkSender, LinkSide, OpenAttempts, PeerIdentity, connect, link_queue, run_link,
 };
 use crate::wire::{Framed, ToAgent, ToEntry};
 
@@ -27,7 +27,7 @@
 
 struct Link {
     sender: LinkSender,
-    work: Rc<RefCell<OpenWork>>,
+    work: Rc<RefCell<OpenAttempts>>,
     generation: u64,
 }
 
@@ -89,7 +89,7 @@
 
     fn open(&self, state: &mut PoolState, target: &Arc<str>, address: Arc<str>) {
         let (sender, queue) = link_queue();
-        let work = Rc::new(RefCell::new(OpenWork::default()));
+        let work = Rc::new(RefCell::new(OpenAttempts::default()));
         state.next_generation += 1;
         let generation = state.next_generation;
         state.links.insert(target.clone(), Link { sender, work: work.clone(), generation });
@@ -118,7 +118,7 @@
     target: Arc<str>,
     address: Arc<str>,
     generation: u64,
-    work: Rc<RefCell<OpenWork>>,
+    work: Rc<RefCell<OpenAttempts>>,
     identity: PeerIdentity,
     events: mpsc::UnboundedSender<LinkEvent>,
 }
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -14,25 +14,25 @@
 
 /// Registry of the metrics of a process, encoded at each scrape.
 #[derive(Debug, Default)]
-pub(crate) struct MetricsPage {
+pub(crate) struct MetricsRegistry {
     registry: Registry,
 }
 
 /// A counter that mirrors a total which is counted elsewhere.
 #[derive(Debug)]
-pub(crate) struct CountMirror(IntCounter);
+pub(crate) struct MirroredCounter(IntCounter);
 
-impl CountMirror {
+impl MirroredCounter {
     /// Raises the counter to `total`; a lower total has no effect.
     pub(crate) fn advance_to(&self, total: u64) {
         self.0.inc_by(total.saturating_sub(self.0.get()));
     }
 }
 
-impl MetricsPage {
+impl MetricsRegistry {
     /// Registers a counter that mirrors a total.
-    pub(crate) fn add_count(&self, name: &str, help: &str) -> CountMirror {
-        CountMirror(match IntCounter::new(name, help) {
+    pub(crate) fn add_counter(&self, name: &str, help: &str) -> MirroredCounter {
+        MirroredCounter(match IntCounter::new(name, help) {
             Ok(counter) => {
                 self.register(counter.clone());
                 counter
@@ -42,7 +42,7 @@
     }
 
     /// Registers a counter for each value of a label, which must have few values.
-    pub(crate) fn add_counts(&self, name: &str, help: &str, label: &str) -> IntCounterVec {
+    pub(crate) fn add_counter_vec(&self, name: &str, help: &str, label: &str) -> IntCounterVec {
         match IntCounterVec::new(Opts::new(name, help), &[label]) {
             Ok(counters) => {
                 self.register(counters.clone());
@@ -64,7 +64,7 @@
     }
 
     /// Registers a histogram of the time to the first token by class of the prompt's length.
-    pub(crate) fn add_first_token(&self, name: &str, help: &str) -> HistogramVec {
+    pub(crate) fn add_first_token_histogram(&self, name: &str, help: &str) -> HistogramVec {
         let options = HistogramOpts::new(name, help).buckets(FIRST_TOKEN_BUCKETS.to_vec());
         match HistogramVec::new(options, &["length_class"]) {
             Ok(histogram) => {
@@ -91,11 +91,11 @@
 
 /// Measures the longest iteration of the event loop of a process.
 #[derive(Debug, Default)]
-pub struct TurnMeter {
+pub struct IterationMeter {
     longest: Cell<Duration>,
 }
 
-impl TurnMeter {
+impl IterationMeter {
     /// Runs one iteration and records its duration.
     pub fn measure<T>(&self, iteration: impl FnOnce() -> T) -> T {
         let start = Instant::now();
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -23,7 +23,7 @@
 use crate::error::{Error, ErrorCode, Result};
 use crate::id::{AttemptKey, ProcessId};
 use crate::wire::{
-    Framed, MAX_FRAME, PROTOCOL_VERSION, ToAgent, ToEntry, from_control, to_control,
+    Framed, MAX_FRAME_BYTES, PROTOCOL_VERSION, ToAgent, ToEntry, from_control, to_control,
 };
 
 /// Timeout for a connection attempt and its handshake.
@@ -111,8 +111,8 @@
 
 fn socket_config() -> WebSocketConfig {
     WebSocketConfig::default()
-        .max_message_size(Some(MAX_FRAME))
-        .max_frame_size(Some(MAX_FRAME))
+        .max_message_size(Some(MAX_FRAME_BYTES))
+        .max_frame_size(Some(MAX_FRAME_BYTES))
         .accept_unmasked_frames(false)
 }
 
@@ -275,9 +275,9 @@
 
 /// Attempts that are open on a link, shared by both of its directions.
 #[derive(Debug, Default)]
-pub(crate) struct OpenWork(HashSet<AttemptKey>);
+pub(crate) struct OpenAttempts(HashSet<AttemptKey>);
 
-impl OpenWork {
+impl OpenAttempts {
     /// Records a message that the link sends or receives.
     pub(crate) fn record<M: LinkMessage>(&mut self, message: &M) {
         if let Some(key) = message.opened_attempt() {
@@ -321,7 +321,7 @@
     mut socket: Socket,
     mut queue: LinkQueue,
     side: LinkSide,
-    open_attempts: &std::cell::RefCell<OpenWork>,
+    open_attempts: &std::cell::RefCell<OpenAttempts>,
     mut on_message: impl FnMut(In),
 ) -> LinkEnd {
     let mut last_received = Instant::now();
--- a/src/prefix.rs
+++ b/src/prefix.rs
@@ -14,7 +14,7 @@
 
 /// Chained hash of a prompt's first blocks, salted per client account.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PrefixMark(
+pub struct PrefixHash(
     /// Number of blocks that the hash covers.
     pub u32,
     /// The hash.
@@ -27,23 +27,23 @@
 /// so that a probe stays small.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct PrefixMarks(pub Vec<PrefixMark>);
+pub struct PrefixHashes(pub Vec<PrefixHash>);
 
 /// Computes the prefix hashes of a prompt incrementally.
 #[derive(Debug)]
-pub struct MarkBuilder {
+pub struct PrefixHasher {
     chain: u64,
     blocks: u32,
     next_hashed: u32,
     pending: Vec<u8>,
-    hashes: Vec<PrefixMark>,
+    hashes: Vec<PrefixHash>,
 }
 
-impl MarkBuilder {
+impl PrefixHasher {
     /// Creates a hasher salted with `salt`, the name of a client account.
     #[must_use]
     pub fn new(salt: &str) -> Self {
-        MarkBuilder {
+        PrefixHasher {
             chain: xxh3_64_with_seed(salt.as_bytes(), 0),
             blocks: 0,
             next_hashed: 1,
@@ -77,7 +77,7 @@
         if self.blocks < self.next_hashed {
             return;
         }
-        self.hashes.push(PrefixMark(self.blocks, self.chain));
+        self.hashes.push(PrefixHash(self.blocks, self.chain));
         self.next_hashed = if (self.blocks as usize) < DENSE_BLOCKS {
             self.blocks + 1
         } else {
@@ -87,12 +87,12 @@
 
     /// Returns the hashes. An incomplete last block is not hashed.
     #[must_use]
-    pub fn into_marks(self) -> PrefixMarks {
-        PrefixMarks(self.hashes)
+    pub fn into_hashes(self) -> PrefixHashes {
+        PrefixHashes(self.hashes)
     }
 }
 
-impl PrefixMarks {
+impl PrefixHashes {
     /// Returns the hash of the prompt's first block, which routes prompts with a
     /// common prefix to the same targets.
     #[must_use]
--- a/src/relay/counts.rs
+++ b/src/relay/counts.rs
@@ -9,7 +9,7 @@
 use super::decide::rate_limit::RateNotice;
 use super::decide::target_notice::TargetNotice;
 use super::record::RequestEnd;
-use crate::metrics::{CountMirror, MetricsPage, length_class};
+use crate::metrics::{MetricsRegistry, MirroredCounter, length_class};
 use crate::time::Tick;
 
 /// Purpose of a call to the store.
@@ -50,8 +50,8 @@
     failed: u64,
     broken: u64,
     caller_left: u64,
-    registry: MetricsPage,
-    mirrors: [CountMirror; 12],
+    registry: MetricsRegistry,
+    mirrors: [MirroredCounter; 12],
     store_calls: IntCounterVec,
     notices: IntCounterVec,
     permits: IntCounterVec,
@@ -67,22 +67,25 @@
 
 impl Default for RelayCounts {
     fn default() -> Self {
-        let registry = MetricsPage::default();
+        let registry = MetricsRegistry::default();
         let mirrors = [
-            registry.add_count("shalelane_relay_requests_total", "requests read"),
-            registry.add_count("shalelane_relay_attempts_total", "sends to targets"),
-            registry.add_count("shalelane_relay_failed_attempts_total", "sends without an answer"),
-            registry.add_count("shalelane_relay_ejections_total", "times a target was left alone"),
-            registry.add_count("shalelane_relay_store_failures_total", "failed calls to the store"),
-            registry.add_count("shalelane_relay_shared_proofs_total", "proofs of other entries"),
-            registry.add_count("shalelane_relay_answered_total", "requests answered whole"),
-            registry.add_count("shalelane_relay_refused_total", "requests refused as not run"),
-            registry.add_count("shalelane_relay_failed_total", "requests that failed"),
-            registry.add_count("shalelane_relay_broken_total", "answers that broke off"),
-            registry.add_count("shalelane_relay_caller_left_total", "callers that left"),
-            registry.add_count("shalelane_relay_lost_lines_total", "log lines that nobody took"),
+            registry.add_counter("shalelane_relay_requests_total", "requests read"),
+            registry.add_counter("shalelane_relay_attempts_total", "sends to targets"),
+            registry
+                .add_counter("shalelane_relay_failed_attempts_total", "sends without an answer"),
+            registry
+                .add_counter("shalelane_relay_ejections_total", "times a target was left alone"),
+            registry
+                .add_counter("shalelane_relay_store_failures_total", "failed calls to the store"),
+            registry.add_counter("shalelane_relay_shared_proofs_total", "proofs of other entries"),
+            registry.add_counter("shalelane_relay_answered_total", "requests answered whole"),
+            registry.add_counter("shalelane_relay_refused_total", "requests refused as not run"),
+            registry.add_counter("shalelane_relay_failed_total", "requests that failed"),
+            registry.add_counter("shalelane_relay_broken_total", "answers that broke off"),
+            registry.add_counter("shalelane_relay_caller_left_total", "callers that left"),
+            registry.add_counter("shalelane_relay_lost_lines_total", "log lines that nobody took"),
         ];
-        let first_event = registry.add_first_token(
+        let first_event = registry.add_first_token_histogram(
             "shalelane_relay_first_event_seconds",
             "time to the first event of a stream, by length of its prompt",
         );
@@ -91,17 +94,17 @@
             attempts: 0,
             failed_attempts: 0,
             ejections: 0,
-            store_calls: registry.add_counts(
+            store_calls: registry.add_counter_vec(
                 "shalelane_relay_store_calls_total",
                 "calls to the store, by what for",
                 "kind",
             ),
-            notices: registry.add_counts(
+            notices: registry.add_counter_vec(
                 "shalelane_relay_target_notices_total",
                 "answers that said something of their target, by what",
                 "kind",
             ),
-            permits: registry.add_counts(
+            permits: registry.add_counter_vec(
                 "shalelane_relay_permits_total",
                 "questions whether a target that takes few requests takes one, by answer",
                 "answer",
@@ -131,7 +134,7 @@
                 "requests that are held back since targets ended under them",
             ),
             first_event,
-            faults: registry.add_counts(
+            faults: registry.add_counter_vec(
                 "shalelane_relay_faults_total",
                 "requests that the relay answered with a failure of its own, by its code",
                 "code",
--- a/src/relay/discovery/follow_config.rs
+++ b/src/relay/discovery/follow_config.rs
@@ -113,7 +113,7 @@
     shared.counts.borrow().record_store_call(StoreCall::EvacuationRead);
     let (read, list) = (read?, list?);
     if read.as_ref().is_some_and(|read| read.store_revision.epoch != list.epoch) {
-        return Err(Error::from_answer(
+        return Err(Error::from_response(
             200,
             "the store was restored from a backup during the read",
         ));
--- a/src/relay/peers/config_copy.rs
+++ b/src/relay/peers/config_copy.rs
@@ -90,7 +90,7 @@
     *request.uri_mut() = uri.parse().unwrap_or_default();
     let response = shared.http_client.call(request, COPY_TIMEOUT).await?;
     if response.status() != StatusCode::OK {
-        return Err(Error::from_answer(response.status().as_u16(), uri));
+        return Err(Error::from_response(response.status().as_u16(), uri));
     }
     ConfigCopy::from_bytes(response.body())
 }
--- a/src/relay/proxy/answer.rs
+++ b/src/relay/proxy/answer.rs
@@ -118,12 +118,12 @@
 
     pub(crate) fn into_answer(self, protocol: &CallerProtocol, id: &str) -> RelayAnswer {
         #[derive(Serialize)]
-        struct FaultBody<'a> {
+        struct ErrorBody<'a> {
             code: &'a str,
             message: &'a str,
             verdict: Verdict,
         }
-        let fault = FaultBody { code: self.code, message: &self.message, verdict: self.verdict };
+        let fault = ErrorBody { code: self.code, message: &self.message, verdict: self.verdict };
         let body = serde_json::to_vec(&fault).unwrap_or_default();
         let mut response = Response::new(RelayBody::Buffered(Full::new(body.into())));
         *response.status_mut() = self.status;
--- a/src/relay/proxy/call.rs
+++ b/src/relay/proxy/call.rs
@@ -17,7 +17,7 @@
 use crate::relay::record::RetryStop;
 use crate::relay::shared::RelayShared;
 use crate::verdict::Verdict;
-use crate::web::{BodyFault, read_body};
+use crate::web::{BodyError, read_body};
 
 /// Largest answer of a target that is buffered, in bytes.
 pub(crate) const MAX_ANSWER_BYTES: usize = 8 * 1024 * 1024;
@@ -74,9 +74,9 @@
     let time_left = job.deadline.since(shared.now());
     let complete_body =
         read_body(body, MAX_ANSWER_BYTES, time_left).await.map_err(|fault| match fault {
-            BodyFault::TimedOut => AttemptFault::timeout(Verdict::MayHaveRun),
-            BodyFault::TooLarge => AttemptFault::garbled("the answer is too large"),
-            BodyFault::Aborted => AttemptFault::broken("the answer broke off"),
+            BodyError::TimedOut => AttemptFault::timeout(Verdict::MayHaveRun),
+            BodyError::TooLarge => AttemptFault::garbled("the answer is too large"),
+            BodyError::Aborted => AttemptFault::broken("the answer broke off"),
         })?;
     guard.return_connection(&head);
     job.report_answered(shared);
--- a/src/relay/proxy/exchange.rs
+++ b/src/relay/proxy/exchange.rs
@@ -22,7 +22,7 @@
 use crate::relay::record::RequestEnd;
 use crate::relay::shared::RelayShared;
 use crate::time::Tick;
-use crate::web::{BodyFault, read_body};
+use crate::web::{BodyError, read_body};
 
 /// Retry delay after a refusal by an entry that is stopping or has no configuration: another entry
 /// may serve the request at once. With a longer delay, callers that came back after an outage of
@@ -181,15 +181,15 @@
 }
 
 #[cold]
-fn body_fault(fault: BodyFault) -> RelayFault {
+fn body_fault(fault: BodyError) -> RelayFault {
     let (status, code, message) = match fault {
-        BodyFault::TooLarge => {
+        BodyError::TooLarge => {
             (StatusCode::PAYLOAD_TOO_LARGE, "body_too_large", "the body is too large")
         }
-        BodyFault::TimedOut => {
+        BodyError::TimedOut => {
             (StatusCode::REQUEST_TIMEOUT, "body_too_slow", "the body did not arrive in time")
         }
-        BodyFault::Aborted => (StatusCode::BAD_REQUEST, "broken_body", "the body broke off"),
+        BodyError::Aborted => (StatusCode::BAD_REQUEST, "broken_body", "the body broke off"),
     };
     RelayFault::invalid(status, code, message)
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -184,10 +184,18 @@
                 .find("admin-key-sha256", flags.admin_key_sha256)
                 .map(Arc::from),
             log_format: reader.read("log-format", flags.log_format, Some("human"))?,
-            max_body_bytes: reader.read("max-body-bytes", flags.max_body_bytes, Some("16777216"))?,
+            max_body_bytes: reader.read(
+                "max-body-bytes",
+                flags.max_body_bytes,
+                Some("16777216"),
+            )?,
             body_timeout: reader.read_duration("body-limit-ms", flags.body_limit_ms, "30000")?,
             max_connections: reader.read("max-connections", flags.max_connections, Some("4096"))?,
-            drain_timeout: reader.read_duration("drain-limit-ms", flags.drain_limit_ms, "900000")?,
+            drain_timeout: reader.read_duration(
+                "drain-limit-ms",
+                flags.drain_limit_ms,
+                "900000",
+            )?,
         }))
     }
 }
@@ -222,7 +230,11 @@
             log_format: reader.read("log-format", flags.log_format, Some("human"))?,
             piece_tokens: reader.read_count("piece-tokens", flags.piece_tokens, "8192")?,
             prefill_tokens: reader.read_count("prefill-tokens", flags.prefill_tokens, "16384")?,
-            drain_timeout: reader.read_duration("drain-limit-ms", flags.drain_limit_ms, "900000")?,
+            drain_timeout: reader.read_duration(
+                "drain-limit-ms",
+                flags.drain_limit_ms,
+                "900000",
+            )?,
         }))
     }
 }
--- a/src/store.rs
+++ b/src/store.rs
@@ -12,7 +12,7 @@
 use crate::error::{Error, ErrorCode, Result};
 
 /// Header with the store's epoch: the number of times that it was restored from an old copy.
-pub const STORE_EPOCH: &str = "x-store-epoch";
+pub const STORE_EPOCH_HEADER: &str = "x-store-epoch";
 
 /// Timeout of a call; a watch adds its wait.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
@@ -174,7 +174,7 @@
 
 /// Returns the epoch in a response, zero if it has none.
 fn to_epoch(response: &Response<Bytes>) -> Result<u64> {
-    let Some(value) = response.headers().get(STORE_EPOCH) else { return Ok(0) };
+    let Some(value) = response.headers().get(STORE_EPOCH_HEADER) else { return Ok(0) };
     let number = value.to_str().ok().and_then(|text| text.parse().ok());
     number.ok_or_else(|| Error::unreachable("the epoch is no number"))
 }
--- a/src/timeline.rs
+++ b/src/timeline.rs
@@ -54,7 +54,7 @@
 
 /// Ring buffer of the newest events of one process.
 #[derive(Debug)]
-pub struct TimeLine {
+pub struct EventTimeline {
     process: ProcessId,
     clock: HybridClock,
     records: VecDeque<EventRecord>,
@@ -62,11 +62,11 @@
     dropped: u64,
 }
 
-impl TimeLine {
+impl EventTimeline {
     /// Creates an empty ring buffer for `capacity` events.
     #[must_use]
     pub fn new(process: ProcessId, capacity: usize) -> Self {
-        TimeLine {
+        EventTimeline {
             process,
             clock: HybridClock::default(),
             records: VecDeque::with_capacity(capacity),
--- a/src/web.rs
+++ b/src/web.rs
@@ -38,19 +38,19 @@
 const MAX_HEADERS: usize = 64;
 
 /// Body of a response: buffered, or streamed in chunks.
-pub(crate) enum AnswerBody {
+pub(crate) enum ResponseBody {
     Buffered(Full<Bytes>),
-    Streamed(PartStream),
+    Streamed(ChunkStream),
 }
 
 /// Chunks of a response body, and a guard that is dropped with the body: the drop shows that the
 /// caller disconnected.
-pub(crate) struct PartStream {
+pub(crate) struct ChunkStream {
     pub(crate) chunks: mpsc::UnboundedReceiver<Bytes>,
     pub(crate) _guard: Box<dyn std::any::Any>,
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = Infallible;
 
@@ -59,8 +59,8 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
         match self.get_mut() {
-            AnswerBody::Buffered(body) => Pin::new(body).poll_frame(context),
-            AnswerBody::Streamed(stream) => {
+            ResponseBody::Buffered(body) => Pin::new(body).poll_frame(context),
+            ResponseBody::Streamed(stream) => {
                 stream.chunks.poll_recv(context).map(|data| data.map(|data| Ok(Frame::data(data))))
             }
         }
@@ -68,18 +68,22 @@
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            AnswerBody::Buffered(body) => body.size_hint(),
-            AnswerBody::Streamed(_) => SizeHint::default(),
+            ResponseBody::Buffered(body) => body.size_hint(),
+            ResponseBody::Streamed(_) => SizeHint::default(),
         }
     }
 }
 
 /// Response of an HTTP server.
-pub(crate) type WebResponse = Response<AnswerBody>;
+pub(crate) type WebResponse = Response<ResponseBody>;
 
 /// Creates a response with a buffered body.
-pub(crate) fn to_response(status: StatusCode, content_type: &str, body: impl Into<Bytes>) -> WebResponse {
-    let mut response = Response::new(AnswerBody::Buffered(Full::new(body.into())));
+pub(crate) fn to_response(
+    status: StatusCode,
+    content_type: &str,
+    body: impl Into<Bytes>,
+) -> WebResponse {
+    let mut response = Response::new(ResponseBody::Buffered(Full::new(body.into())));
     *response.status_mut() = status;
     let value = HeaderValue::from_str(content_type);
     let value = value.unwrap_or(HeaderValue::from_static("application/octet-stream"));
@@ -88,14 +92,14 @@
 }
 
 /// Creates a response with a JSON body.
-pub(crate) fn answer_json<T: Serialize>(status: StatusCode, value: &T) -> WebResponse {
+pub(crate) fn to_json_response<T: Serialize>(status: StatusCode, value: &T) -> WebResponse {
     let body = serde_json::to_vec(value).unwrap_or_default();
     to_response(status, "application/json", body)
 }
 
 /// JSON body of an error response.
 #[derive(Serialize)]
-pub(crate) struct FaultBody<'a> {
+pub(crate) struct ErrorBody<'a> {
     error: ErrorDetail<'a>,
 }
 
@@ -107,7 +111,7 @@
     request_id: &'a str,
 }
 
-impl<'a> FaultBody<'a> {
+impl<'a> ErrorBody<'a> {
     pub(crate) fn new(
         code: &'a str,
         message: &'a str,
@@ -115,12 +119,12 @@
         request_id: &'a str,
     ) -> Self {
         let verdict = verdict.to_string();
-        FaultBody { error: ErrorDetail { code, message, verdict, request_id } }
+        ErrorBody { error: ErrorDetail { code, message, verdict, request_id } }
     }
 }
 
 /// Creates an error response; `retry_after` is rounded up to whole seconds.
-pub(crate) fn answer_fault(
+pub(crate) fn to_error_response(
     status: StatusCode,
     code: &str,
     message: &str,
@@ -128,7 +132,8 @@
     request_id: &str,
     retry_after: Option<Duration>,
 ) -> WebResponse {
-    let mut response = answer_json(status, &FaultBody::new(code, message, verdict, request_id));
+    let mut response =
+        to_json_response(status, &ErrorBody::new(code, message, verdict, request_id));
     set_verdict(response.headers_mut(), verdict, request_id);
     if let Some(delay) = retry_after {
         let seconds = delay.as_millis().div_ceil(1000).max(1) as u64;
@@ -156,7 +161,7 @@
 
 /// Reason that a body could not be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum BodyFault {
+pub(crate) enum BodyError {
     TooLarge,
     TimedOut,
     Aborted,
@@ -167,26 +172,26 @@
     mut body: Incoming,
     max_bytes: usize,
     timeout: Duration,
-) -> Result<Bytes, BodyFault> {
+) -> Result<Bytes, BodyError> {
     let expected_bytes = body.size_hint().lower() as usize;
     if expected_bytes > max_bytes {
-        return Err(BodyFault::TooLarge);
+        return Err(BodyError::TooLarge);
     }
     let read = async {
         let mut buffer = BytesMut::with_capacity(expected_bytes);
         while let Some(frame) = body.frame().await {
-            let frame = frame.map_err(|_| BodyFault::Aborted)?;
+            let frame = frame.map_err(|_| BodyError::Aborted)?;
             let Ok(chunk) = frame.into_data() else {
                 continue;
             };
             if buffer.len() + chunk.len() > max_bytes {
-                return Err(BodyFault::TooLarge);
+                return Err(BodyError::TooLarge);
             }
             buffer.extend_from_slice(&chunk);
         }
         Ok(buffer.freeze())
     };
-    tokio::time::timeout(timeout, read).await.unwrap_or(Err(BodyFault::TimedOut))
+    tokio::time::timeout(timeout, read).await.unwrap_or(Err(BodyError::TimedOut))
 }
 
 /// Accepts the next connection. Retries after a failure, since causes such as a lack of file
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -10,21 +10,21 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-use crate::account_gate::AccountShare;
+use crate::account_quota::AccountShare;
 use crate::config::{ConfigVersion, Urgency};
 use crate::error::{Error, ErrorCode, Result};
 use crate::id::{AttemptKey, Incarnation};
-use crate::prefix::PrefixMarks;
+use crate::prefix::PrefixHashes;
 use crate::verdict::Verdict;
 
 /// Version of the protocol between entries and agents.
 pub const PROTOCOL_VERSION: u16 = 1;
 
 /// Maximum size of a frame that either side accepts, in bytes.
-pub const MAX_FRAME: usize = 256 * 1024;
+pub const MAX_FRAME_BYTES: usize = 256 * 1024;
 
 /// Maximum payload of one body frame, in bytes.
-pub const BODY_FRAME: usize = 64 * 1024;
+pub const BODY_FRAME_BYTES: usize = 64 * 1024;
 
 const KIND_CONTROL: u8 = 0;
 const KIND_BODY: u8 = 1;
@@ -68,7 +68,7 @@
     pub urgency: Urgency,
     /// Hashes of the prompt's prefixes.
     #[serde(rename = "x")]
-    pub prefix_hashes: PrefixMarks,
+    pub prefix_hashes: PrefixHashes,
 }
 
 /// An agent's predictions about a probed request.
@@ -151,7 +151,7 @@
     pub need: TokenNeed,
     /// Hashes of the prompt's prefixes.
     #[serde(rename = "marks")]
-    pub prefix_hashes: PrefixMarks,
+    pub prefix_hashes: PrefixHashes,
     /// Length of the body that follows, in bytes.
     pub body_len: u64,
     /// Time left until the request's deadline, in microseconds.
--- a/standins/src/chaos/arrivals.rs
+++ b/standins/src/chaos/arrivals.rs
@@ -5,7 +5,7 @@
 use shalelane::RequestId;
 use shalelane::config::AccountPolicy;
 use shalelane::entry::{self, Arrival};
-use shalelane::prefix::MarkBuilder;
+use shalelane::prefix::PrefixHasher;
 use shalelane::wire::Call;
 
 use super::callers::CallerRequest;
@@ -57,7 +57,7 @@
 }
 
 fn to_arrival(number: u64, request: &CallerRequest, policy: Rc<AccountPolicy>) -> Arrival {
-    let mut marks = MarkBuilder::new(&policy.name);
+    let mut marks = PrefixHasher::new(&policy.name);
     marks.update(request.prompt.as_bytes());
     let (service, call) = if request.is_order() {
         let call = Call::Plain {
@@ -77,7 +77,7 @@
         call,
         prompt_bytes: request.prompt.len() as u64,
         max_answer_tokens: if request.is_order() { 0 } else { request.answer },
-        prefix_hashes: marks.into_marks(),
+        prefix_hashes: marks.into_hashes(),
         body: request.prompt.clone().into(),
         repeatable: request.repeatable,
     }
--- a/standins/src/slopes.rs
+++ b/standins/src/slopes.rs
@@ -17,7 +17,7 @@
 use shalelane::entry::account::{AccountTable, to_key_hash};
 use shalelane::entry::{self, Arrival, EntryCore, EntryTuning};
 use shalelane::hosts::{HostDelta, HostRecord, HostRole, HostState};
-use shalelane::prefix::{MarkBuilder, PrefixMarks};
+use shalelane::prefix::{PrefixHasher, PrefixHashes};
 use shalelane::time::Tick;
 use shalelane::wire::{Call, Completion, Framed, ProbeAnswer, ToAgent, ToEntry};
 use shalelane::{AttemptKey, Incarnation, ProcessId};
@@ -191,7 +191,7 @@
 
 fn arrival(number: u64, policy: &Rc<AccountPolicy>) -> Arrival {
     let prompt = crate::prompt::make_prompt(2_000, number % 4, 1_000, number);
-    let mut marks = MarkBuilder::new(&policy.name);
+    let mut marks = PrefixHasher::new(&policy.name);
     marks.update(prompt.as_bytes());
     Arrival {
         number,
@@ -200,7 +200,7 @@
         call: Call::Model { model: "canal-8b".into(), path: "/v1/completions".into() },
         prompt_bytes: prompt.len() as u64,
         max_answer_tokens: 64,
-        prefix_hashes: marks.into_marks(),
+        prefix_hashes: marks.into_hashes(),
         body: prompt.into(),
         repeatable: true,
     }
@@ -326,10 +326,10 @@
     }
 }
 
-fn sample_marks(tokens: u64) -> PrefixMarks {
-    let mut marks = MarkBuilder::new("account-0001");
+fn sample_marks(tokens: u64) -> PrefixHashes {
+    let mut marks = PrefixHasher::new("account-0001");
     marks.update(crate::prompt::make_prompt(tokens, 1, 100, 1).as_bytes());
-    marks.into_marks()
+    marks.into_hashes()
 }
 
 fn open_runs(core: &mut AgentCore, runs: usize) {
--- a/standins/src/store_server.rs
+++ b/standins/src/store_server.rs
@@ -10,7 +10,7 @@
 use hyper::body::Incoming;
 use hyper::header::{ETAG, HeaderValue, IF_MATCH, IF_NONE_MATCH};
 use hyper::{Method, Request, StatusCode};
-use shalelane::store::STORE_EPOCH;
+use shalelane::store::STORE_EPOCH_HEADER;
 use tokio::sync::Notify;
 
 use crate::serve::{Reply, ServerThread, query_u64, reply, serve_http};
@@ -170,7 +170,7 @@
         Method::PUT => write(&state, &changed, &name, request).await,
         _ => Some(reply(StatusCode::METHOD_NOT_ALLOWED, "")),
     }?;
-    reply.headers_mut().insert(STORE_EPOCH, HeaderValue::from(epoch));
+    reply.headers_mut().insert(STORE_EPOCH_HEADER, HeaderValue::from(epoch));
     // An answer that was under way while the store came back is cut.
     (lock(&state).epoch == epoch).then_some(reply)
 }
--- a/tests/account_limits.rs
+++ b/tests/account_limits.rs
@@ -9,7 +9,7 @@
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use shalelane::account_gate::AccountGate;
+use shalelane::account_quota::AccountQuota;
 use shalelane::config::{AccountPolicy, Config};
 use shalelane::entry::account::{AccountLimits, AccountTable};
 use shalelane::time::Tick;
@@ -60,7 +60,7 @@
 struct LimitFixture {
     policy: AccountPolicy,
     entries: Vec<AccountLimits>,
-    quota: AccountGate<(usize, u64)>,
+    quota: AccountQuota<(usize, u64)>,
     /// Requests in flight: their entry, and whether the agent admitted them.
     open: BTreeMap<u64, (usize, bool)>,
     admitted: Vec<Tick>,
@@ -73,7 +73,7 @@
         LimitFixture {
             policy,
             entries: (0..entries).map(|_| AccountLimits::default()).collect(),
-            quota: AccountGate::default(),
+            quota: AccountQuota::default(),
             open: BTreeMap::new(),
             admitted: Vec::new(),
         }
@@ -108,9 +108,9 @@
 
     /// Restarts the agent; entries report to it the requests that it admitted before.
     fn restart_agent(&mut self, now: Tick) {
-        self.quota = AccountGate::default();
+        self.quota = AccountQuota::default();
         for (number, (entry, _)) in self.open.iter().filter(|(_, (_, is_by_agent))| *is_by_agent) {
-            self.quota.note_held(&self.policy.name, (*entry, *number), now);
+            self.quota.record_admitted(&self.policy.name, (*entry, *number), now);
         }
     }
 }
--- a/tests/account_gate.rs
+++ b/tests/account_quota.rs
@@ -7,7 +7,7 @@
 use shalelane::config::{AccountPolicy, Config, ConfigVersion};
 use shalelane::entry::{Arrival, Effect, EntryCore, EntryTuning, Event, FailureCode, Reply};
 use shalelane::hosts::{HostDelta, HostRecord, HostRole, HostState};
-use shalelane::prefix::PrefixMarks;
+use shalelane::prefix::PrefixHashes;
 use shalelane::time::Tick;
 use shalelane::wire::{AccountAsk, Call, ToAgent, ToEntry};
 use shalelane::{Incarnation, ProcessId};
@@ -51,7 +51,7 @@
             call: Call::Model { model: "canal-8b".into(), path: "/v1/completions".into() },
             prompt_bytes: 400,
             max_answer_tokens: 10,
-            prefix_hashes: PrefixMarks::default(),
+            prefix_hashes: PrefixHashes::default(),
             body: "ask".into(),
             repeatable: false,
         };
@@ -94,7 +94,10 @@
 fn a_request_beyond_the_share_waits_for_the_accounts_agent() {
     let mut world = QuotaWorld::new();
     let (agent, query) = query_of(&world.arrive(1, START));
-    assert_eq!((query.remainder.per_second, query.remainder.concurrent, query.was_admitted), (2.0, 4, false));
+    assert_eq!(
+        (query.remainder.per_second, query.remainder.concurrent, query.was_admitted),
+        (2.0, 4, false)
+    );
     let (other, _) = query_of(&world.arrive(2, START));
     assert_eq!(agent, other, "both queries must go to one agent");
     let effects = world.answer(&agent, 1, None);
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -27,7 +27,7 @@
 async fn assert_healthy(site: &Site) {
     let answer = call(site.callers(0), completion("pier-app", "Still there?", 2)).await;
     assert!(answer.expect("completion request failed").is_done());
-    site.wait_nothing_held().await;
+    site.wait_memory_released().await;
 }
 
 #[tokio::test]
@@ -88,11 +88,11 @@
 async fn a_model_without_permission_is_refused() {
     let site = small_site().await;
     let config = VALDIVIA.replace("[[templates]]\nname = \"kiosk\"", "[[models]]\nname = \"other\"\nservice = \"canal-assistant\"\nmax_prompt_tokens = 10\n\n[[templates]]\nname = \"kiosk\"");
-    let status = site.ask_admin(0, "/admin/v1/status").await.json();
+    let status = site.get_admin(0, "/admin/v1/status").await.json();
     let version = status["config_version"].as_u64().expect("status has no configuration version");
     assert_eq!(site.apply(&config, version).await.status, 200);
     support::wait_until("the new configuration is in force", async || {
-        site.ask_admin(0, "/admin/v1/status").await.json()["config_version"] != version
+        site.get_admin(0, "/admin/v1/status").await.json()["config_version"] != version
     })
     .await;
     let body = r#"{"model": "other", "prompt": "a"}"#;
@@ -194,6 +194,6 @@
     let missing = br#"{"token": "x", "items": [{"kind": "service", "hash": "00ff"}]}"#;
     site.store.overwrite("config/manifest", missing);
     assert_healthy(&site).await;
-    let status = site.ask_admin(0, "/admin/v1/status").await.json();
+    let status = site.get_admin(0, "/admin/v1/status").await.json();
     assert_eq!(status["ready"], true);
 }
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -66,7 +66,7 @@
     let answer = caller.await.expect("task").expect("answer");
     assert_eq!(answer.status, 200);
     assert_eq!(answer.stream_text(), expected(&prompt, 10));
-    site.wait_nothing_held().await;
+    site.wait_memory_released().await;
 }
 
 #[tokio::test]
@@ -131,7 +131,7 @@
     next_part(&mut stream).await.expect("a first part");
     assert!(site.held_tokens() > 0);
     drop(stream);
-    site.wait_nothing_held().await;
+    site.wait_memory_released().await;
 }
 
 #[tokio::test]
@@ -221,7 +221,7 @@
 #[tokio::test]
 async fn of_two_racing_changes_one_wins_and_a_lost_answer_is_settled() {
     let site = Site::start(2, 1, EngineSpec::default()).await;
-    let status = site.ask_admin(0, "/admin/v1/status").await.json();
+    let status = site.get_admin(0, "/admin/v1/status").await.json();
     let version = status["config_version"].as_u64().expect("a version");
     let one = VALDIVIA.replace("weight = 3", "weight = 4");
     let other = VALDIVIA.replace("weight = 3", "weight = 5");
@@ -235,7 +235,7 @@
     let version = won.json()["version"].as_u64().expect("a version");
     for index in 0..2 {
         wait_until("the change is in force everywhere", async || {
-            let status = site.ask_admin(index, "/admin/v1/status").await.json();
+            let status = site.get_admin(index, "/admin/v1/status").await.json();
             status["config_version"] == version
         })
         .await;
@@ -249,13 +249,13 @@
         call(site.callers(0), completion("pier-app", "A question?", 2)).await.expect("answer");
     for index in 0..2 {
         let path = format!("/admin/v1/why/{}", answer.request_id);
-        let explanation = site.ask_admin(index, &path).await;
+        let explanation = site.get_admin(index, &path).await;
         assert_eq!(explanation.status, 200, "{}", String::from_utf8_lossy(&explanation.body));
         let steps = explanation.json()["steps"].as_array().cloned().unwrap_or_default();
         let kinds: Vec<_> = steps.iter().filter_map(|step| step["step"].as_str()).collect();
         assert_eq!(kinds, ["admitted", "asked", "offered", "chosen", "first", "ended"]);
     }
-    let unknown = site.ask_admin(0, "/admin/v1/why/entry-7.1f.3").await;
+    let unknown = site.get_admin(0, "/admin/v1/why/entry-7.1f.3").await;
     assert_eq!((unknown.status, unknown.code().as_str()), (404, "no_record"));
 }
 
--- a/tests/regression/agent_fixture.rs
+++ b/tests/regression/agent_fixture.rs
@@ -4,7 +4,7 @@
 
 use shalelane::agent::{AgentCore, AgentTuning, ConnId, Effect, EngineFacts, Event};
 use shalelane::config::Urgency;
-use shalelane::prefix::PrefixMarks;
+use shalelane::prefix::PrefixHashes;
 use shalelane::time::Tick;
 use shalelane::wire::{Call, Dispatch, Hold, Shard, ToAgent, ToEntry, TokenNeed};
 use shalelane::{AttemptId, AttemptKey, Incarnation, ProcessId};
@@ -69,7 +69,7 @@
         weight: 1,
         urgency: Urgency::Normal,
         need: TokenNeed { prompt, answer: 10 },
-        prefix_hashes: PrefixMarks::default(),
+        prefix_hashes: PrefixHashes::default(),
         body_len: 0,
         remaining_us: 30_000_000,
         shards,
--- a/tests/regression/requests_that_crash_engines.rs
+++ b/tests/regression/requests_that_crash_engines.rs
@@ -9,7 +9,7 @@
 use shalelane::config::{AccountPolicy, Config, ConfigVersion};
 use shalelane::entry::{Arrival, Effect, EntryCore, EntryTuning, Event, FailureCode, Reply};
 use shalelane::hosts::{HostDelta, HostRecord, HostRole, HostState};
-use shalelane::prefix::PrefixMarks;
+use shalelane::prefix::PrefixHashes;
 use shalelane::time::Tick;
 use shalelane::wire::{Call, Completion, ProbeAnswer, ToAgent, ToEntry};
 use shalelane::{Incarnation, ProcessId, Verdict};
@@ -122,7 +122,7 @@
             call: Call::Model { model: "canal-8b".into(), path: "/v1/completions".into() },
             prompt_bytes: 400,
             max_answer_tokens: 10,
-            prefix_hashes: PrefixMarks::default(),
+            prefix_hashes: PrefixHashes::default(),
             body: body.into(),
             repeatable: false,
         })));
--- a/tests/restored_store.rs
+++ b/tests/restored_store.rs
@@ -14,7 +14,7 @@
 
 /// Returns the configuration version in force at an entry.
 async fn version(site: &Site, entry: usize) -> u64 {
-    let status = site.ask_admin(entry, "/admin/v1/status").await.json();
+    let status = site.get_admin(entry, "/admin/v1/status").await.json();
     status["config_version"].as_u64().expect("a version")
 }
 
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -226,7 +226,7 @@
     }
 
     /// Requests a path of an entry's administration API.
-    pub async fn ask_admin(&self, index: usize, path: &str) -> WholeAnswer {
+    pub async fn get_admin(&self, index: usize, path: &str) -> WholeAnswer {
         let get = request("GET", path, ADMIN_KEY, "");
         call(self.admin(index), get).await.expect("an answer")
     }
@@ -235,7 +235,7 @@
     pub async fn wait_ready(&self, index: usize) {
         let targets = self.agents.len() + 1;
         wait_until("an entry is ready", async || {
-            let status = self.ask_admin(index, "/admin/v1/status").await.json();
+            let status = self.get_admin(index, "/admin/v1/status").await.json();
             status["ready"] == true && status["known_targets"] == targets
         })
         .await;
@@ -247,7 +247,7 @@
     }
 
     /// Waits until no engine has memory in use.
-    pub async fn wait_nothing_held(&self) {
+    pub async fn wait_memory_released(&self) {
         wait_until("no engine has memory in use", async || self.held_tokens() == 0).await;
     }
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use quickcheck::{Gen, QuickCheck};
 use shalelane::config::{ConfigVersion, Urgency};
-use shalelane::prefix::{BLOCK_BYTES, MarkBuilder};
+use shalelane::prefix::{BLOCK_BYTES, PrefixHasher};
 use shalelane::wire::{Call, Dispatch, Framed, Probe, Resume, ToAgent, ToEntry, TokenNeed};
 use shalelane::{AttemptKey, Incarnation, Verdict};
 
@@ -17,9 +17,9 @@
 
 #[test]
 fn messages_survive_encoding_and_decoding() {
-    let mut builder = MarkBuilder::new("account");
+    let mut builder = PrefixHasher::new("account");
     builder.update(&vec![7; BLOCK_BYTES * 40]);
-    let marks = builder.into_marks();
+    let marks = builder.into_hashes();
     let need = TokenNeed { prompt: 40_960, answer: 64 };
     let key = AttemptKey(9, 2);
     let to_agent = [
@@ -99,12 +99,12 @@
     fn holds(text: Vec<u8>, cut: usize) -> bool {
         let text: Vec<u8> = std::iter::repeat_n(text, 100).flatten().collect();
         let (first, rest) = text.split_at(cut % (text.len() + 1));
-        let mut whole = MarkBuilder::new("account");
+        let mut whole = PrefixHasher::new("account");
         whole.update(&text);
-        let mut parts = MarkBuilder::new("account");
+        let mut parts = PrefixHasher::new("account");
         parts.update(first);
         parts.update(rest);
-        whole.into_marks() == parts.into_marks()
+        whole.into_hashes() == parts.into_hashes()
     }
     check(holds as fn(Vec<u8>, usize) -> bool);
 }
@@ -113,9 +113,9 @@
 fn accounts_share_no_prefix_hashes_and_a_long_prompt_has_few() {
     let text = vec![b'x'; 4_000_000];
     let hashes_of = |account: &str| {
-        let mut builder = MarkBuilder::new(account);
+        let mut builder = PrefixHasher::new(account);
         builder.update(&text);
-        builder.into_marks()
+        builder.into_hashes()
     };
     let (one, other) = (hashes_of("one"), hashes_of("other"));
     assert!(one.0.len() < 40, "{} prefix hashes", one.0.len());
