--- a/src/agent/core.rs
+++ b/src/agent/core.rs
@@ -17,7 +17,7 @@
 use crate::invariant::InvariantCheck;
 use crate::mutant::{Mutant, is_on};
 use crate::time::{Tick, TimerService};
-use crate::wire::{AccountAsk, Probe, ProbeAnswer, Refusal, ToAgent, ToEntry};
+use crate::wire::{AccountQuery, Probe, ProbeAnswer, Refusal, ToAgent, ToEntry};
 
 /// Event counts since the agent started.
 #[derive(Clone, Copy, Debug, Default)]
@@ -276,8 +276,8 @@
         self.send(Some(conn), ToEntry::ProbeAnswer(answer));
     }
 
-    fn on_account_request(&mut self, conn: ConnId, request: &AccountAsk, now: Tick) {
-        let AccountAsk { number, account, remainder: rest, was_admitted: is_held } = request;
+    fn on_account_request(&mut self, conn: ConnId, request: &AccountQuery, now: Tick) {
+        let AccountQuery { number, account, remainder: rest, was_admitted: is_held } = request;
         let holder = (conn, *number);
         if *is_held {
             return self.quota.record_admitted(account, holder, now);
--- a/src/entry/admission.rs
+++ b/src/entry/admission.rs
@@ -9,7 +9,7 @@
 use super::event::{Arrival, Effect, FailureCode, Reply};
 use crate::account_quota::AccountShare;
 use crate::time::Tick;
-use crate::wire::{AccountAsk, ToAgent, TokenNeed};
+use crate::wire::{AccountQuery, ToAgent, TokenNeed};
 
 /// Timeout of an account query to an agent: some round trips, and the time to connect.
 const ACCOUNT_QUERY_TIMEOUT: Duration = Duration::from_millis(500);
@@ -77,8 +77,12 @@
         is_held: bool,
     ) {
         let account = arrival.policy.name.clone();
-        let query =
-            AccountAsk { number: arrival.number, account, remainder: rest, was_admitted: is_held };
+        let query = AccountQuery {
+            number: arrival.number,
+            account,
+            remainder: rest,
+            was_admitted: is_held,
+        };
         self.effects.push(Effect::Send(agent.clone(), ToAgent::QueryAccount(query)));
     }
 
@@ -90,7 +94,7 @@
         });
         let empty = AccountShare { per_second: 0.0, concurrent: 0 };
         let queries: Vec<_> = granted
-            .map(|request| AccountAsk {
+            .map(|request| AccountQuery {
                 number: request.arrival.number,
                 account: request.arrival.policy.name.clone(),
                 remainder: empty,
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -192,7 +192,7 @@
 
 /// Asks an agent to admit a request of a client account.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct AccountAsk {
+pub struct AccountQuery {
     /// Number of the request at the entry.
     #[serde(rename = "n")]
     pub number: u64,
@@ -236,7 +236,7 @@
     ConfigVersion(ConfigVersion),
     /// Asks for the admission of a request of a client account.
     #[serde(rename = "g")]
-    QueryAccount(AccountAsk),
+    QueryAccount(AccountQuery),
     /// Releases the admission of a request that has ended, or withdraws the query for it.
     #[serde(rename = "e")]
     ReleaseAccount(u64),
--- a/tests/account_quota.rs
+++ b/tests/account_quota.rs
@@ -9,7 +9,7 @@
 use shalelane::hosts::{HostDelta, HostRecord, HostRole, HostState};
 use shalelane::prefix::PrefixHashes;
 use shalelane::time::Tick;
-use shalelane::wire::{AccountAsk, Call, ToAgent, ToEntry};
+use shalelane::wire::{AccountQuery, Call, ToAgent, ToEntry};
 use shalelane::{Incarnation, ProcessId};
 
 /// Time of the test's events.
@@ -65,7 +65,7 @@
 }
 
 /// Returns the queried agent and the query.
-fn query_of(effects: &[Effect]) -> (Arc<str>, AccountAsk) {
+fn query_of(effects: &[Effect]) -> (Arc<str>, AccountQuery) {
     let query = effects.iter().find_map(|effect| match effect {
         Effect::Send(agent, ToAgent::QueryAccount(query)) => Some((agent.clone(), query.clone())),
         _ => None,
