--- a/src/relay/decide/evacuation.rs
+++ b/src/relay/decide/evacuation.rs
@@ -1,7 +1,7 @@
 //! Failure domains that are out of service: nothing more is sent to their targets.
 //!
-//! The list of these domains is proven as the configuration is, by the same reads and the same
-//! answers of other entries, so no entry serves with older knowledge than its lease allows.
+//! The list of these domains is proven like the configuration: by the same reads and the same
+//! answers of other entries. So no entry serves with older knowledge than its lease allows.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -9,8 +9,8 @@
 
 use crate::time::Tick;
 
-/// Time after the store was restored from a copy for which a domain that it omits is still out
-/// of service: evacuations that the copy lacks are written again meanwhile.
+/// Time after the store was restored from a backup for which a domain that it omits is still
+/// out of service: evacuations that the backup lacks are written again meanwhile.
 const REWRITE_WINDOW: Duration = Duration::from_secs(5);
 
 /// The failure domains that are out of service.
--- a/src/relay/decide/group_search.rs
+++ b/src/relay/decide/group_search.rs
@@ -171,31 +171,31 @@
         let load = need.to_load(self.prefill_time, size, 1, rates.passes(need.answer_tokens));
         let decoder = self.best_decoder(&load, size)?;
         let mut helpers = self.best_helpers(size, &decoder)?;
-        let memory_plan = plan_reservations(need, rates.memory_tokens, &decoder, &mut helpers)?;
+        let reservations = plan_reservations(need, rates.memory_tokens, &decoder, &mut helpers)?;
         let group = || helpers.iter().chain([&decoder]).map(|member| &member.forecast);
         let start = group().map(|forecast| forecast.time_to_prefill).max()?;
-        let cost_to_others = self.starts.group_delay_cost(group()) * policy.harm_weight;
+        let delay_cost = self.starts.group_delay_cost(group()) * policy.harm_weight;
         let group_cost = need.value() * policy.helper_cost * helpers.len() as f32;
         let own_cost = self.decoder_cost(&decoder) + need.loss_at(start);
-        let cost_to_future = self.opportunity_cost(&decoder, &load);
+        let opportunity_cost = self.opportunity_cost(&decoder, &load);
         let names = helpers.iter().map(|helper| helper.target.record.incarnation.clone());
         Some(Placement {
             target: decoder.target.record.incarnation.clone(),
             helpers: names.collect(),
-            reservations: memory_plan,
+            reservations,
             first_event: start,
-            cost: own_cost + cost_to_future + cost_to_others + group_cost,
-            delay_cost: cost_to_others,
+            cost: own_cost + opportunity_cost + delay_cost + group_cost,
+            delay_cost,
             own_loss: own_cost.min(need.value() * LATE_LOSS),
-            opportunity_cost: cost_to_future,
+            opportunity_cost,
             candidates: self.engines.len(),
             send_before: None,
         })
     }
 
     /// The best engine to decode, among those with memory for the smallest share that one of
-    /// `size` engines can hold. The memory check lowers the refused short prompts from 267 to 0 of
-    /// 2,442, in replayed load with alternating phases of 3 s.
+    /// `size` engines can hold. The memory check lowers the number of refused short prompts from
+    /// 267 to 0 of 2,442, in replayed load with alternating phases of 3 s.
     fn best_decoder(&self, load: &StreamLoad, size: usize) -> Option<Candidate<'a>> {
         let min_memory = (self.need.prompt_tokens + self.need.answer_tokens).div_ceil(size as u64);
         let has_memory =
--- a/src/relay/decide/quarantine.rs
+++ b/src/relay/decide/quarantine.rs
@@ -4,7 +4,7 @@
 //! resends it again and again to any entry. If every entry treats each submission as a new
 //! request, one such request crashes 48 engines, and the work in progress there is lost.
 //!
-//! A target that crashes runs other requests too, and nothing tells which of them was the
+//! A target that crashes runs other requests too, and nothing shows which of them was the
 //! cause. So a request is quarantined only if three target instances crashed under it and no
 //! other request explains these crashes better: neither one that is quarantined already nor
 //! another suspect that ran in all of the same instances. A bystander that is resent is
--- a/src/relay/decide/rate_table.rs
+++ b/src/relay/decide/rate_table.rs
@@ -131,8 +131,8 @@
 
     /// Returns the updates for the next message to a process, and records them in `announced`.
     ///
-    /// Changes are announced at once, and all known limits from time to time. Targets that do not fit
-    /// into one message are in the next.
+    /// Changes are announced at once, and all known limits from time to time. Targets that do not
+    /// fit into one message are in the next.
     pub fn to_updates(&mut self, announced: &mut AnnouncedRates, now: Tick) -> Vec<RateUpdate> {
         if announced.change != self.change {
             *announced = AnnouncedRates { change: self.change, rounds: 0 };
--- a/src/relay/decide/request_digest.rs
+++ b/src/relay/decide/request_digest.rs
@@ -1,8 +1,8 @@
 //! Identifies repeated submissions of a request by its account, host, path and body.
 //!
 //! A caller gives each submission a separate ID, so the ID does not identify the content.
-//! What is learned about a request is applied to every submission with the same digest, so
-//! the digest is one for which no caller can craft a request that collides with another
+//! What is learned about a request is applied to every submission with the same digest. So
+//! the digest is a cryptographic hash: no caller can craft a request that collides with another
 //! caller's.
 
 use std::fmt;
--- a/src/relay/decide/retry_budget.rs
+++ b/src/relay/decide/retry_budget.rs
@@ -3,8 +3,8 @@
 //! All entries together may retry a ratio of a service's requests, plus a fixed number in each
 //! window. Each entry applies the ratio to its own requests: the sum holds for any number of
 //! entries, as long as none rounds its share up. The fixed number is granted by one agent for
-//! all entries ([`super::shared_retry_budget`]): if it were divided among entries, each entry's part
-//! would depend on their number, and on what those that have restarted had spent before.
+//! all entries ([`super::shared_retry_budget`]): if it were divided among entries, each entry's
+//! part would depend on their number, and on what restarted entries had spent before.
 
 use std::collections::VecDeque;
 use std::time::Duration;
--- a/src/relay/decide/start_wait.rs
+++ b/src/relay/decide/start_wait.rs
@@ -2,9 +2,9 @@
 //!
 //! If all processes start at the same moment, the load balancer has no other process for its
 //! callers. Each process gets its configuration and its targets about ten to a hundred
-//! milliseconds after it starts to listen. Callers refused in that time came back only once and
-//! late: 124 requests of a day were refused in the 0.2 s between the starts of 30 processes and
-//! their first configurations.
+//! milliseconds after it starts to listen. Callers that were refused in that time retried only
+//! once and late: 124 of a day's requests were refused in the 0.2 s between the starts of 30
+//! processes and their first configurations.
 
 use std::time::Duration;
 
--- a/src/relay/decide/target_notice.rs
+++ b/src/relay/decide/target_notice.rs
@@ -15,7 +15,7 @@
 /// serving for many seconds, and its list entry may reappear meanwhile.
 const REMOVED_TTL: Duration = Duration::from_secs(60);
 
-/// Time after its removal for which a target that reappears in a store restored from a copy is
+/// Time after its removal for which a target that reappears in a store restored from a backup is
 /// not used. Targets write their entries again meanwhile, and a target that has ended is
 /// dropped after three heartbeats.
 const REWRITE_WINDOW: Duration = Duration::from_secs(5);
@@ -58,8 +58,8 @@
     /// another.
     pub fn merge(&mut self, notice: &TargetNotice, now: Tick) {
         self.is_leaving |= notice.is_leaving;
-        if let Some(span) = notice.backoff {
-            self.backoff_until = self.backoff_until.max(now + span);
+        if let Some(backoff) = notice.backoff {
+            self.backoff_until = self.backoff_until.max(now + backoff);
         }
     }
 }
--- a/src/relay/decide/warmup.rs
+++ b/src/relay/decide/warmup.rs
@@ -1,9 +1,10 @@
 //! Limits the requests sent to a target that is still warming up.
 //!
 //! This guards against an overload on recovery: the targets of a failure domain return together
-//! and cold while callers press. All of them are idle, so all entries select them at once, and
-//! a target crashes at a rate that it can bear when warm. So all entries together send a cold
-//! target a limited rate, by permits of its agent; the rest goes to warm targets or is refused.
+//! and cold while callers keep sending. All of them are idle, so all entries select them at once,
+//! and a target crashes at a rate that it can handle when warm. So all entries together send a
+//! cold target a limited rate, by permits of its agent; the rest goes to warm targets or is
+//! refused.
 
 use std::time::Duration;
 
@@ -28,7 +29,7 @@
 /// Tolerance above the warm-up rate that a service declares.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WarmupBound {
-    /// Factor to the declared rate.
+    /// Factor on the declared rate.
     pub overrun: f64,
     /// Requests in each second beyond that.
     pub slack: f64,
