--- a/src/relay/core/attempts.rs
+++ b/src/relay/core/attempts.rs
@@ -81,7 +81,7 @@
         service: ServiceScope<'_>,
         need: Option<&PromptNeed>,
         scope: TargetScope<'_>,
-        turn: PermitPolicy,
+        permit: PermitPolicy,
         now: Tick,
     ) -> Option<Placement> {
         self.remove_missing(now);
@@ -92,7 +92,7 @@
         }
         let RelayLimits { failure_domain, policy, .. } = &self.limits;
         let entry = self.entry;
-        let query = PlacementQuery { service, failure_domain, scope, permit: turn, entry, policy };
+        let query = PlacementQuery { service, failure_domain, scope, permit, entry, policy };
         match need {
             Some(need) => place_prompt(&self.targets, &query, need, now),
             None => place_call(&self.targets, &query, now),
@@ -107,19 +107,19 @@
         now: Tick,
     ) -> PlacedAttempt {
         self.next_number += 1;
-        let key = StreamKey { entry: self.entry, number: self.next_number };
+        let stream_key = StreamKey { entry: self.entry, number: self.next_number };
         if let Some(target) = self.targets.get_mut(&placement.target) {
             target.record_sent(now);
         }
         if let Some(need) = need {
-            self.begin_stream(placement, need, key, now);
+            self.begin_stream(placement, need, stream_key, now);
         }
         PlacedAttempt {
             target: placement.target.clone(),
             instance: self.instance_of(&placement.target),
             is_suspect: false,
             helpers: placement.helpers.clone(),
-            stream_key: key,
+            stream_key,
             send_before: placement.send_before,
         }
     }
@@ -137,14 +137,11 @@
         let shards = placement.helpers.len() + 1;
         let prefill = model.rates().prefill_time(need.prompt_tokens);
         let holders = placement.reservations.len() + 1;
-        let start_us = placement.first_event.as_micros() as u64;
+        let first_event_us = placement.first_event.as_micros() as u64;
         let passes = model.rates().passes(need.answer_tokens);
-        let own_load = StreamLoad {
-            first_event_us: start_us,
-            ..need.to_load(prefill, shards, holders, passes)
-        };
-        let shard_load =
-            StreamLoad { first_event_us: start_us, ..need.to_helper_load(prefill, shards) };
+        let own_load =
+            StreamLoad { first_event_us, ..need.to_load(prefill, shards, holders, passes) };
+        let shard_load = StreamLoad { first_event_us, ..need.to_helper_load(prefill, shards) };
         self.add_load(&placement.target, key, own_load, now);
         for (index, helper) in placement.helpers.iter().enumerate() {
             let load = if index < placement.reservations.len() { own_load } else { shard_load };
@@ -239,7 +236,7 @@
         self.targets.get_mut(target)?.record_failure(fault, now)
     }
 
-    /// Applies what an answer says of the target instance that gave it, except for its rate
+    /// Applies what an answer states about the target instance that gave it, except for its rate
     /// ([`RelayCore::apply_rate`]).
     pub fn apply_notice(&mut self, instance: &TargetInstance, notice: &TargetNotice, now: Tick) {
         let target = self.targets.get_mut(&instance.incarnation);
@@ -269,8 +266,8 @@
         has_permit && is_accepting(&attempt.target) && attempt.helpers.iter().all(is_accepting)
     }
 
-    /// Returns the time until a target of a service may be sent requests again, `None` if one
-    /// may be now or if no target is known.
+    /// Returns the time until a target of a service accepts requests again, `None` if one does
+    /// now or if no target is known.
     #[must_use]
     pub fn time_to_target<'a>(
         &self,
--- a/src/relay/core/configuration.rs
+++ b/src/relay/core/configuration.rs
@@ -25,7 +25,7 @@
         if is_earlier && self.config_sync.is_refuted(sent_at) {
             return self.apply_refutation(read, sent_at);
         }
-        // A read that a watch has overtaken holds what has been replaced since.
+        // A read that a watch has overtaken holds a configuration that has been replaced since.
         let config = read.config.filter(|_| !is_earlier);
         self.set_config_revision(read.revision);
         if !is_earlier && sent_at >= self.read_at {
@@ -241,7 +241,7 @@
     #[must_use]
     pub fn answer_proof_request(&self, nonce: u64, now: Tick) -> Option<PeerMessage> {
         const ROUNDING: u32 = 1;
-        // A proof from the previous epoch of the store says nothing of a revision of this one.
+        // A proof from the previous epoch of the store says nothing about a revision of this one.
         if self.proven_epoch != self.config_revision.epoch || !self.is_config_confirmed() {
             return None;
         }
--- a/src/relay/core/evacuation.rs
+++ b/src/relay/core/evacuation.rs
@@ -8,8 +8,8 @@
 
 impl RelayCore {
     /// Applies the list of failure domains that were out of service at `proven_at`. Returns `true`
-    /// if that changes anything. What the same read proves of the
-    /// configuration may only be applied afterwards.
+    /// if that changes anything. What the same read proves about the configuration may only be
+    /// applied afterwards.
     pub fn apply_evacuations(&mut self, list: EvacuationList, proven_at: Tick, now: Tick) -> bool {
         let EvacuationList { domains, epoch } = list;
         if !self.evacuations.apply(domains, epoch, proven_at, now) {
--- a/src/relay/core/permits.rs
+++ b/src/relay/core/permits.rs
@@ -20,7 +20,7 @@
 /// connection or a frozen host delays for longer would add to those of later permits.
 pub(super) const SEND_WINDOW: Duration = Duration::from_millis(300);
 
-/// Time for which the second agent is asked in place of one that did not answer.
+/// Time for which the second agent is asked in place of a first one that did not answer.
 const FALLBACK_DURATION: Duration = Duration::from_secs(2);
 
 /// Time without requests to a target if no agent answers for it, and time until the next request
@@ -66,8 +66,8 @@
 }
 
 impl RelayCore {
-    /// Applies what an answer says of the rate of the target that gave it, to a request sent at
-    /// `sent_at`. With `None` for `sent_at`, an answer without a rate says nothing.
+    /// Applies what an answer states about the rate of the target that gave it, to a request sent
+    /// at `sent_at`. With `None` for `sent_at`, an answer without a rate states nothing.
     pub fn apply_rate(
         &mut self,
         instance: &TargetInstance,
@@ -126,9 +126,9 @@
     pub(super) fn update_rate_limits(&mut self, now: Tick) {
         for target in self.targets.iter_mut() {
             let is_known = !self.rates.is_empty();
-            let named =
+            let announced =
                 is_known.then(|| self.rates.rate_of(&target.record.to_instance())).flatten();
-            target.rate = RateLimit::lower(named, target.warmup(now).map(|(rate, _)| rate));
+            target.rate = RateLimit::lower(announced, target.warmup(now).map(|(rate, _)| rate));
         }
     }
 
@@ -143,27 +143,27 @@
     ) -> Option<PermitQuery> {
         let target = self.targets.get(&placement.target)?;
         target.rate?;
-        let life = target.record.to_instance();
+        let instance = target.record.to_instance();
         let warmup = target.warmup(now).map(|(rate, left)| WarmupUpdate {
             rate,
             left_ms: left.as_millis().try_into().unwrap_or(u32::MAX),
         });
-        let news = match self.rates.to_update(&life, now) {
-            Some(news) => news,
+        let update = match self.rates.to_update(&instance, now) {
+            Some(update) => update,
             None if warmup.is_none() => return None,
             // No rate is known: the maximum age keeps this from counting as an update.
-            None => RateUpdate { instance: life, rate: None, age_ms: u32::MAX },
+            None => RateUpdate { instance, rate: None, age_ms: u32::MAX },
         };
         let is_second =
             target.permit_unanswered_at.is_some_and(|at| now.since(at) < FALLBACK_DURATION);
-        let ask = PermitRequest {
-            rate: news,
+        let request = PermitRequest {
+            rate: update,
             warmup,
             max_wait_ms: max_wait.as_millis().try_into().unwrap_or(u32::MAX),
             is_second,
         };
         Some(PermitQuery {
-            request: ask,
+            request,
             requested_at: now,
             agent_host: self.issuer_of(target, is_second),
         })
@@ -197,9 +197,9 @@
         let hosts =
             self.ranked_hosts(|host| xxhash_rust::xxh3::xxh3_64_with_seed(host.as_bytes(), seed));
         let agents = [false, true].into_iter().zip(hosts.into_iter().take(MAX_AGENTS));
-        let to_query = |(is_second, beside)| RetryGrantQuery {
+        let to_query = |(is_second, agent_host)| RetryGrantQuery {
             request: RetryGrantRequest { service: service.clone(), slack, window_ms, is_second },
-            agent_host: beside,
+            agent_host,
         };
         Some(agents.map(to_query).collect())
     }
@@ -229,17 +229,17 @@
     /// Returns a target on the host of the agent that issues permits for a target. All entries
     /// ask the same agent, whichever targets they use.
     fn issuer_of(&self, target: &TargetState, is_second: bool) -> Option<SocketAddr> {
-        let beside = target.model.is_some().then_some(target.record.address);
-        if !is_second && beside.is_some() {
-            return beside;
+        let own_host = target.model.is_some().then_some(target.record.address);
+        if !is_second && own_host.is_some() {
+            return own_host;
         }
         let instance = target.record.to_instance();
         let hosts = self.ranked_hosts(|host| {
             xxhash_rust::xxh3::xxh3_64_with_seed(host.as_bytes(), instance.seed())
         });
         let others =
-            hosts.into_iter().filter(|host| beside.is_none_or(|other| other.ip() != host.ip()));
-        beside.into_iter().chain(others).nth(usize::from(is_second))
+            hosts.into_iter().filter(|host| own_host.is_none_or(|other| other.ip() != host.ip()));
+        own_host.into_iter().chain(others).nth(usize::from(is_second))
     }
 
     /// Applies the answer to a request for a permit, `None` if no answer came.
@@ -251,7 +251,7 @@
     ) -> PermitVerdict {
         let instance = &query.request.rate.instance;
         if reply == Some(PermitReply::Open) {
-            // An answer may have named a rate since the permit was requested.
+            // An answer may have stated a rate since the permit was requested.
             let age_ms = now.since(query.requested_at).as_millis().try_into().unwrap_or(u32::MAX);
             let update = RateUpdate { rate: None, age_ms, ..query.request.rate.clone() };
             self.apply_rates(&[update], now);
--- a/src/relay/core/quarantine.rs
+++ b/src/relay/core/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that crash the targets that run them.
+//! Quarantine of requests that crash the targets which run them.
 
 use std::net::IpAddr;
 use std::sync::Arc;
@@ -56,15 +56,15 @@
         self.quarantine.suspect_targets().map(|instance| instance.incarnation.clone()).collect()
     }
 
-    /// Records a broken connection of an attempt that had received events for `settled`.
+    /// Records a broken connection of an attempt that had received events for `streamed_for`.
     pub fn record_broken(
         &mut self,
         digest: RequestDigest,
         instance: &TargetInstance,
-        settled: Duration,
+        streamed_for: Duration,
         now: Tick,
     ) {
-        let report = self.quarantine.record_broken(digest, instance, settled, now);
+        let report = self.quarantine.record_broken(digest, instance, streamed_for, now);
         self.outbox.extend(report.map(PeerMessage::RequestSuspected));
     }
 
--- a/src/relay/core/target_list.rs
+++ b/src/relay/core/target_list.rs
@@ -64,16 +64,12 @@
         let since = self.target_list_sync.changed_at();
         self.record_list(list.revision, list.changed_at);
         let change = self.apply_list(list.records, is_after_outage, now);
-        let mark = self.target_list_sync.changed_at();
-        let is_announced = is_announced && !change.is_empty() && mark.epoch == since.epoch;
+        let revision = self.target_list_sync.changed_at();
+        let is_announced = is_announced && !change.is_empty() && revision.epoch == since.epoch;
         let age_ms = to_age_ms(now.since(known_at));
         let changes = || self.to_changes(&change);
-        let update = is_announced.then(|| TargetListUpdate {
-            since,
-            revision: mark,
-            age_ms,
-            changes: changes(),
-        });
+        let update =
+            is_announced.then(|| TargetListUpdate { since, revision, age_ms, changes: changes() });
         (change, update)
     }
 
@@ -171,7 +167,7 @@
         is_after_outage: bool,
         now: Tick,
     ) -> (ListChange, Option<TargetListUpdate>) {
-        let WatchedChanges { changes, revision: mark, known_at, .. } = watched;
+        let WatchedChanges { changes, revision, known_at, .. } = watched;
         if changes.is_empty() {
             return (ListChange::default(), None);
         }
@@ -188,11 +184,11 @@
             changes.iter().filter(is_announced).map(|(_, change)| change.clone()).collect();
         let changes: Vec<_> = changes.into_iter().map(|(_, change)| change).collect();
         let change = self.apply_changes(&changes, is_after_outage.then_some(known_at), now);
-        self.target_list_sync.record_watched(mark);
+        self.target_list_sync.record_watched(revision);
         let age_ms = to_age_ms(now.since(known_at));
-        let update = (mark > known).then_some(TargetListUpdate {
+        let update = (revision > known).then_some(TargetListUpdate {
             since,
-            revision: mark,
+            revision,
             age_ms,
             changes: announced,
         });
