--- a/src/relay/counts.rs
+++ b/src/relay/counts.rs
@@ -144,8 +144,8 @@
 
 impl RelayCounts {
     /// Counts the outcome of a request.
-    pub(crate) fn record_end(&mut self, end: RequestEnd) {
-        let count = match end {
+    pub(crate) fn record_end(&mut self, outcome: RequestEnd) {
+        let count = match outcome {
             RequestEnd::Answered => &mut self.answered,
             RequestEnd::Refused => &mut self.refused,
             RequestEnd::Failed => &mut self.failed,
@@ -160,7 +160,7 @@
         self.store_calls.with_label_values(&[call.as_str()]).inc();
     }
 
-    /// Counts what an answer said of its target.
+    /// Counts what an answer stated about its target.
     pub(crate) fn record_notice(&self, notice: &TargetNotice) {
         let kinds = [
             ("leaving", notice.is_leaving),
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -3,14 +3,16 @@
 //! On a platform whose callers, targets and store have protocols of their own, an adapter
 //! defines these ([`proxy::protocol`], [`discovery::source`]). Everything else is decided here:
 //!
-//! - [`decide`]: placement and refusal of requests, and the times at which callers should come
-//!   back, without input or output,
+//! - [`decide`]: placement and refusal of requests, and the delays after which refused callers may
+//!   retry, without input or output,
 //! - [`discovery`]: the configuration and the targets of the platform, and how current they are,
 //! - [`peers`]: messages between entries and agents,
 //! - [`proxy`]: the path of a request from its caller to a target and back.
 //!
 //! [`core::RelayCore`] combines the decisions and does no input or output. `shared` holds the
-//! state that the tasks of a process share, and [`server`] starts these tasks.
+//! state that the tasks of a process share, and [`server`] starts these tasks. [`settings`] reads
+//! the settings files, [`record`] writes the log, `counts` holds the metrics, and [`stop`] plans
+//! the phases of a stop.
 
 pub mod core;
 mod counts;
--- a/src/relay/record.rs
+++ b/src/relay/record.rs
@@ -271,7 +271,7 @@
             "id" => line.id, "end" => %line.outcome, "status" => line.status, "why" => line.reason,
             "targets" => line.targets, "sends" => line.sends,
             "digest" => line.digest.map(|digest| digest.to_string()),
-            "not_sent_again" => line.retry_stop.map(|end| end.to_string()), "took_ms" => line.elapsed.as_millis() as u64,
+            "not_sent_again" => line.retry_stop.map(|stop| stop.to_string()), "took_ms" => line.elapsed.as_millis() as u64,
             "first_ms" => line.pace.time_to_first.map(|duration| duration.as_millis() as u64),
             "longest_pause_ms" => line.pace.longest_pause.as_millis() as u64,
             "config_version" => line.version,
@@ -298,7 +298,7 @@
             "why" => line.reason, "verdict" => %line.verdict, "left_out" => left_out);
     }
 
-    /// Logs what an answer says of its target.
+    /// Logs what an answer states about its target.
     pub fn notice_received(&self, target: &str, notice: &TargetNotice, now: Tick) {
         let Some(left_out) = self.take_from_budget("noted", now) else { return };
         info!(self.logger, "target notice";
--- a/src/relay/server.rs
+++ b/src/relay/server.rs
@@ -116,11 +116,11 @@
         open_requests: Cell::new(0),
     });
     shared.core.borrow_mut().set_unix_origin(wall_micros() / MICROS_PER_MS);
-    let feed = Rc::new(adapter.source);
+    let source = Rc::new(adapter.source);
     let (close, closing) = watch::channel(false);
-    tokio::task::spawn_local(follow_config(shared.clone(), feed.clone()));
-    tokio::task::spawn_local(follow_quarantine(shared.clone(), feed.clone()));
-    tokio::task::spawn_local(follow_targets(shared.clone(), feed));
+    tokio::task::spawn_local(follow_config(shared.clone(), source.clone()));
+    tokio::task::spawn_local(follow_quarantine(shared.clone(), source.clone()));
+    tokio::task::spawn_local(follow_targets(shared.clone(), source));
     tokio::task::spawn_local(accept_callers(shared.clone(), callers, closing));
     tokio::task::spawn_local(serve_paths(shared.clone(), readiness, answer_status));
     tokio::task::spawn_local(serve_paths(shared.clone(), metrics, answer_status));
--- a/src/relay/shared.rs
+++ b/src/relay/shared.rs
@@ -91,8 +91,8 @@
         core.targets.get(target).map_or(Duration::ZERO, |target| target.silence(self.now()))
     }
 
-    /// Applies what an answer says of the target that gave it, to a request sent at `sent_at`.
-    /// With `None` for `sent_at`, an answer without a rate says nothing.
+    /// Applies what an answer states about the target that gave it, to a request sent at
+    /// `sent_at`. With `None` for `sent_at`, an answer without a rate states nothing.
     pub(crate) fn apply_notice(
         &self,
         instance: Option<&TargetInstance>,
@@ -110,7 +110,7 @@
         core.apply_rate(instance, notice.rate, sent_at, now);
     }
 
-    /// Passes an agent's answer to the waiting request, unless that no longer waits.
+    /// Passes an agent's answer to the request that waits for it, if that request still waits.
     pub(crate) fn deliver_permit_reply(&self, nonce: u64, reply: PermitReply) {
         if let Some(waiter) = self.pending_permits.borrow_mut().remove(&nonce) {
             let _ = waiter.send(reply);
