--- a/src/relay/discovery/config_delta.rs
+++ b/src/relay/discovery/config_delta.rs
@@ -76,17 +76,17 @@
 }
 
 impl ConfigDelta {
-    /// Computes the changes from `old`, of revision `since`, to `new`, of revision `new_revision`.
+    /// Computes the changes from `old`, of revision `since`, to `new`, of revision `revision`.
     #[must_use]
     pub fn between(
         old: &RelayConfig,
         since: StoreRevision,
         new: &RelayConfig,
-        new_revision: StoreRevision,
+        revision: StoreRevision,
     ) -> Self {
         ConfigDelta {
             since,
-            revision: new_revision,
+            revision,
             version: new.version,
             routes: ItemChanges::between(&old.routes, &new.routes, route_key),
             services: ItemChanges::between(&old.services, &new.services, service_key),
--- a/src/relay/discovery/follow_config.rs
+++ b/src/relay/discovery/follow_config.rs
@@ -227,8 +227,8 @@
 fn announce_change(shared: &RelayShared) {
     let delta = shared.core.borrow_mut().take_config_change();
     let core = shared.core.borrow();
-    let share = core.target_list_sync();
-    let is_announcer = share.is_watching() && share.should_announce(rand::random());
+    let sync = core.target_list_sync();
+    let is_announcer = sync.is_watching() && sync.should_announce(rand::random());
     let Some(delta) = delta.filter(|_| is_announcer) else { return };
     if !shared.link.broadcast(
         &core,
--- a/src/relay/discovery/follow_targets.rs
+++ b/src/relay/discovery/follow_targets.rs
@@ -227,8 +227,8 @@
 /// Sends changes to other entries, if this entry is a watcher that announces changes.
 fn announce_update(shared: &RelayShared, update: TargetListUpdate) {
     let mut core = shared.core.borrow_mut();
-    let share = core.target_list_sync();
-    if !share.is_watching() || !share.should_announce(rand::random()) {
+    let sync = core.target_list_sync();
+    if !sync.is_watching() || !sync.should_announce(rand::random()) {
         return;
     }
     let (count, revision) = (update.changes.len(), update.revision);
