--- a/src/relay/peers/engine_health.rs
+++ b/src/relay/peers/engine_health.rs
@@ -1,7 +1,7 @@
 //! Health of the engine beside an agent, from its reports.
 //!
 //! Engines may crash during sharded prefills. If each entry finds each dead engine by several
-//! failed requests in a row, it uses up the second attempts that are left for a crash. The agent
+//! failed requests in a row, it uses up the retries that are left to it for a crash. The agent
 //! beside the engine notices within one report interval, and informs all entries. If an engine
 //! reports and yet breaks off its requests, the suspicions of two entries suffice: without this
 //! rule 30 entries met five such engines 533 times in seven seconds, and 85 requests of all kinds
--- a/src/relay/peers/mod.rs
+++ b/src/relay/peers/mod.rs
@@ -1,9 +1,13 @@
 //! Messages between the processes of a fleet.
 //!
 //! Entries inform one another of the load that they place on engines, through the agents beside
-//! these: [`peer_message`] defines the messages, [`subscriber_set`] holds the state of an agent,
-//! [`engine_health`] tracks whether its engine works, [`coordinator`] is the agent's event loop, and
-//! `peer_link` an entry's socket. [`config_copy`] transfers configurations.
+//! these engines:
+//!
+//! - [`peer_message`]: the messages, and [`message_fragments`]: messages longer than a datagram,
+//! - [`coordinator`]: the event loop of an agent, [`subscriber_set`]: the entries that it knows,
+//!   and [`engine_health`]: whether its engine works,
+//! - `peer_link`: the socket of an entry, and `receive`: the messages that it receives,
+//! - [`config_copy`]: transfer of configurations between entries.
 
 pub mod config_copy;
 pub mod coordinator;
--- a/src/relay/peers/peer_link.rs
+++ b/src/relay/peers/peer_link.rs
@@ -130,8 +130,8 @@
 
     /// Sends the known rates to the agents, if there are any.
     fn send_rates(&self, core: &mut RelayCore, now: Tick) {
-        for (beside, update) in core.to_issuer_rates(now) {
-            self.send_beside(beside, &PeerMessage::Rates(vec![update]));
+        for (agent_host, update) in core.to_issuer_rates(now) {
+            self.send_beside(agent_host, &PeerMessage::Rates(vec![update]));
         }
         let rates = core.to_rate_updates(now);
         if rates.is_empty() {
@@ -169,8 +169,8 @@
     let revision = core.config_revision();
     let is_announced = core.is_config_confirmed() && !revision.is_unknown();
     let confirmed_revision = is_announced.then_some(revision);
-    let share = core.target_list_sync();
-    let watched_revision = share.is_watching().then_some(share.announced());
+    let sync = core.target_list_sync();
+    let watched_revision = sync.is_watching().then_some(sync.announced());
     PeerMessage::Subscribe {
         entry: core.entry(),
         proof_age_ms,
--- a/src/relay/peers/peer_message.rs
+++ b/src/relay/peers/peer_message.rs
@@ -124,12 +124,12 @@
         /// The requested permit.
         ask: PermitRequest,
     },
-    /// An entry asks for a second attempt beyond its share of the retry budget.
+    /// An entry asks for a retry from the shared retry budget, beyond its own budget.
     #[serde(rename = "b")]
     RequestRetryGrant {
         /// Identifies the request.
         nonce: u64,
-        /// The requested attempt.
+        /// The requested retry.
         ask: RetryGrantRequest,
     },
     /// The answer to either request.
--- a/src/relay/peers/receive.rs
+++ b/src/relay/peers/receive.rs
@@ -97,8 +97,8 @@
     }
 }
 
-/// An agent that has not learned the name of its target yet leaves it empty: then it is the target
-/// on the agent's host.
+/// Fills in the target name of an acknowledgement if the agent left it empty, since it has not
+/// learned the name yet. The target is the one on the agent's host.
 fn fill_target_name(core: &RelayCore, mut message: PeerMessage, from: SocketAddr) -> PeerMessage {
     let PeerMessage::SubscriptionAck { target, .. } = &mut message else { return message };
     if target.is_empty()
--- a/src/relay/peers/subscriber_set.rs
+++ b/src/relay/peers/subscriber_set.rs
@@ -32,8 +32,8 @@
     suspects: QuarantineLedger,
     /// Accepted rates of targets, and permits to send to them.
     permits: PermitIssuer,
-    /// Second attempts that it grants.
-    slack: SharedRetryBudget,
+    /// Retries that it grants.
+    retry_budget: SharedRetryBudget,
     /// Name of the engine beside this agent, as entries call it.
     beside: Option<Arc<str>>,
     /// Rates that were sent to each subscriber.
@@ -121,14 +121,14 @@
                 }]
             }
             PeerMessage::RequestRetryGrant { nonce, ask } => {
-                let reply = self.slack.on_request(ask, now);
+                let reply = self.retry_budget.on_request(ask, now);
                 vec![OutboundMessage {
                     to: from,
                     message: PeerMessage::AnswerPermit { nonce: *nonce, reply },
                 }]
             }
-            PeerMessage::SentWithoutPermit(life) => {
-                self.permits.record_unpermitted(life, now);
+            PeerMessage::SentWithoutPermit(instance) => {
+                self.permits.record_unpermitted(instance, now);
                 Vec::new()
             }
             PeerMessage::AnswerPermit { .. }
@@ -189,7 +189,7 @@
             );
             let suspects =
                 self.suspects.to_reports().into_iter().map(PeerMessage::RequestSuspected);
-            out.extend(suspects.map(|report| OutboundMessage { to: from, message: report }));
+            out.extend(suspects.map(|message| OutboundMessage { to: from, message }));
         }
         out
     }
