--- a/src/relay/proxy/call.rs
+++ b/src/relay/proxy/call.rs
@@ -31,11 +31,11 @@
     let mut series = AttemptSeries::new();
     loop {
         if let Some(fault) = series.check_quarantine(shared, job) {
-            ledger.series_end = Some(RetryStop::Quarantined);
+            ledger.retry_stop = Some(RetryStop::Quarantined);
             return Err(fault);
         }
         let Some(mut placement) = series.place(shared, job) else {
-            ledger.series_end = Some(RetryStop::NoTarget);
+            ledger.retry_stop = Some(RetryStop::NoTarget);
             return Err(series.final_fault(shared, job, false));
         };
         if !acquire_permit(shared, job, &series, &mut placement).await {
@@ -49,8 +49,9 @@
             Err(fault) => {
                 let is_timeout = fault.is_timeout;
                 ledger.digest = Some(job.digest());
-                if let Err(end) = series.record_fault(shared, job, &placement.target, fault).await {
-                    ledger.series_end = Some(end);
+                if let Err(stop) = series.record_fault(shared, job, &placement.target, fault).await
+                {
+                    ledger.retry_stop = Some(stop);
                     if let Some(answer) = series.answer.take() {
                         return Ok(answer.map(|body| RelayBody::Buffered(Full::new(body))));
                     }
@@ -75,7 +76,7 @@
     let complete_body =
         read_body(body, MAX_ANSWER_BYTES, time_left).await.map_err(|fault| match fault {
             BodyFault::TooSlow => AttemptFault::timeout(Verdict::MayHaveRun),
-            BodyFault::TooLarge => AttemptFault::garbled("the answer is too large"),
+            BodyFault::TooLarge => AttemptFault::malformed("the answer is too large"),
             BodyFault::Broken => AttemptFault::broken("the answer broke off"),
         })?;
     guard.return_connection(&head);
@@ -86,7 +87,7 @@
     let answer = Response::from_parts(parts, complete_body);
     if is_failure && job.route.repeat.is_repeatable() {
         let reason = format!("the target answered {}", answer.status().as_u16());
-        let mut fault = AttemptFault::garbled(reason);
+        let mut fault = AttemptFault::malformed(reason);
         fault.fault = TargetFault::Error;
         fault.verdict = Verdict::Ran;
         fault.answer = Some(Box::new(answer));
--- a/src/relay/proxy/forward.rs
+++ b/src/relay/proxy/forward.rs
@@ -213,7 +213,7 @@
         AttemptFault::new(TargetFault::Broken, Verdict::MayHaveRun, reason)
     }
 
-    pub(crate) fn garbled(reason: impl Into<String>) -> Self {
+    pub(crate) fn malformed(reason: impl Into<String>) -> Self {
         AttemptFault::new(TargetFault::Malformed, Verdict::MayHaveRun, reason)
     }
 
@@ -226,7 +226,7 @@
 /// connection unless it was returned to the pool.
 pub(crate) struct AttemptGuard {
     shared: Rc<RelayShared>,
-    pub(crate) share: PlacedAttempt,
+    pub(crate) attempt: PlacedAttempt,
     connection: Option<TargetConnection>,
     /// Released on drop.
     memory: Option<MemoryHold>,
@@ -239,14 +239,14 @@
         if !answer.closes_connection {
             let now = self.shared.now();
             let mut pool = self.shared.pool.borrow_mut();
-            pool.put(&self.share.target, connection, answer.keep_alive, now);
+            pool.put(&self.attempt.target, connection, answer.keep_alive, now);
         }
     }
 }
 
 impl Drop for AttemptGuard {
     fn drop(&mut self) {
-        self.shared.core.borrow_mut().end_attempt(&self.share);
+        self.shared.core.borrow_mut().end_attempt(&self.attempt);
         self.shared.send_messages();
     }
 }
@@ -270,18 +270,19 @@
     let Some(address) = shared.address_of(&placement.target) else {
         return Err(AttemptFault::not_sent("the target is gone"));
     };
-    let share = {
+    let attempt = {
         let mut core = shared.core.borrow_mut();
         let now = shared.now();
-        let mut share = core.begin_attempt(placement, job.need_at(now).as_ref(), now);
+        let mut attempt = core.begin_attempt(placement, job.need_at(now).as_ref(), now);
         if job.is_suspect(&core) {
-            core.mark_suspect(&mut share);
+            core.mark_suspect(&mut attempt);
         }
-        share
+        attempt
     };
     shared.send_messages();
     shared.counts.borrow_mut().attempts += 1;
-    let mut guard = AttemptGuard { shared: shared.clone(), share, connection: None, memory: None };
+    let mut guard =
+        AttemptGuard { shared: shared.clone(), attempt, connection: None, memory: None };
     let mut helpers = to_helpers(shared, placement)?;
     if !placement.reservations.is_empty() {
         let hold = MemoryHold::reserve(shared, placement, &mut helpers).await;
@@ -289,15 +290,15 @@
     }
     let connection = acquire_connection(shared, job, &placement.target, address).await?;
     let is_reused = connection.is_reused;
-    let share = &guard.share;
-    if !shared.core.borrow().may_send(share, shared.now()) {
+    let attempt = &guard.attempt;
+    if !shared.core.borrow().may_send(attempt, shared.now()) {
         return Err(AttemptFault::superseded());
     }
     let connection = guard.connection.insert(connection);
     let request = to_request(shared, job, placement, &helpers, resume_after);
     let sent_at = shared.now();
     let sending = connection.sender.send_request(request);
-    let timeout = wait_for_timeout(shared, job, placement, share, may_hedge);
+    let timeout = wait_for_timeout(shared, job, placement, attempt, may_hedge);
     let response = tokio::select! {
         response = sending => response,
         fault = timeout => return Err(fault),
@@ -322,7 +323,7 @@
             && head.is_signed
             && head.attempt.as_deref() == job.head.attempt.as_deref();
         shared.apply_notice(
-            guard.share.instance.as_ref(),
+            guard.attempt.instance.as_ref(),
             &head.notice,
             is_authentic.then_some(sent_at),
         );
@@ -397,7 +398,7 @@
     shared: &RelayShared,
     job: &RelayJob,
     placement: &Placement,
-    share: &PlacedAttempt,
+    attempt: &PlacedAttempt,
     may_hedge: bool,
 ) -> AttemptFault {
     let sent_at = shared.now();
@@ -420,7 +421,7 @@
         let is_due = now.since(sent_at) >= predicted + silence;
         let is_silent = || shared.silence_of(&placement.target) >= silence;
         // The engine may prefill later prompts first, which is no fault of the target.
-        let is_queued = || !shared.core.borrow_mut().time_to_prefill(share, now).is_zero();
+        let is_queued = || !shared.core.borrow_mut().time_to_prefill(attempt, now).is_zero();
         if job.need.is_some() && is_due && is_silent() && !is_queued() {
             return AttemptFault::silent("the target has sent nothing for too long");
         }
@@ -431,7 +432,7 @@
 /// encoding or lacks a signature.
 fn check_head(job: &RelayJob, parts: &Parts, head: &AnswerHead) -> Result<(), AttemptFault> {
     if head.attempt.as_deref() != job.head.attempt.as_deref() && !head.is_not_run {
-        return Err(AttemptFault::garbled("answer to another request"));
+        return Err(AttemptFault::malformed("answer to another request"));
     }
     if head.is_not_run {
         let fault = if head.is_replaced { TargetFault::Replaced } else { TargetFault::Full };
@@ -443,10 +444,10 @@
         return Err(AttemptFault { failed_address: head.failed_address, ..fault });
     }
     if head.is_encoded {
-        return Err(AttemptFault::garbled("answer in a content encoding"));
+        return Err(AttemptFault::malformed("answer in a content encoding"));
     }
     if parts.status.is_success() && !head.is_signed {
-        return Err(AttemptFault::garbled("success without a signature"));
+        return Err(AttemptFault::malformed("success without a signature"));
     }
     Ok(())
 }
--- a/src/relay/proxy/ledger.rs
+++ b/src/relay/proxy/ledger.rs
@@ -22,7 +22,7 @@
     /// Digest of the request; set once an attempt has failed.
     pub(crate) digest: Option<RequestDigest>,
     /// Reason why the request was not sent again after a failure.
-    pub(crate) series_end: Option<RetryStop>,
+    pub(crate) retry_stop: Option<RetryStop>,
     pub(crate) pace: StreamPace,
     is_ended: bool,
     /// A planned stop waits until the whole answer is sent, rather than its head.
@@ -38,7 +38,7 @@
             targets: Vec::new(),
             sends: 0,
             digest: None,
-            series_end: None,
+            retry_stop: None,
             pace: StreamPace::default(),
             is_ended: false,
             _open_request: OpenRequest::new(shared),
@@ -53,21 +53,21 @@
         }
     }
 
-    pub(crate) fn end(&mut self, end: RequestEnd, status: StatusCode, message: &str) {
+    pub(crate) fn end(&mut self, outcome: RequestEnd, status: StatusCode, reason: &str) {
         self.is_ended = true;
         let shared = &self.shared;
         let now = shared.now();
-        shared.counts.borrow_mut().record_end(end);
+        shared.counts.borrow_mut().record_end(outcome);
         let core = shared.core.borrow();
         let line = RequestLine {
             id: &self.id,
-            outcome: end,
+            outcome,
             status: status.as_u16(),
-            reason: message,
+            reason,
             targets: &self.targets.join(","),
             sends: self.sends,
             digest: self.digest,
-            retry_stop: self.series_end,
+            retry_stop: self.retry_stop,
             elapsed: now.since(self.arrived),
             pace: self.pace,
             version: core.rules().version(),
@@ -79,8 +79,8 @@
     pub(crate) fn end_with_fault(&mut self, fault: &RelayFault) {
         self.shared.counts.borrow().record_fault(fault.code);
         let is_refused = fault.verdict == Verdict::NotRun;
-        let end = if is_refused { RequestEnd::Refused } else { RequestEnd::Failed };
-        self.end(end, fault.status, &fault.message);
+        let outcome = if is_refused { RequestEnd::Refused } else { RequestEnd::Failed };
+        self.end(outcome, fault.status, &fault.message);
     }
 }
 
--- a/src/relay/proxy/mod.rs
+++ b/src/relay/proxy/mod.rs
@@ -3,7 +3,9 @@
 //! `exchange` accepts the request; `call` or `stream` serves it. `series` decides whether another
 //! attempt is made, `permit` requests a permit if the target is rate-limited, and `forward` sends
 //! one attempt. `crash_check` probes whether a plain target has crashed, and `answer` builds the
-//! caller's response. [`protocol`] defines the adapters for the protocols of callers and targets.
+//! caller's response. `connections` pools the connections to targets, `memory_hold` reserves memory
+//! at helpers, [`event_stream`] splits streams into events, and `ledger` logs the request at its
+//! end. [`protocol`] defines the adapters for the protocols of callers and targets.
 
 pub(crate) mod answer;
 pub(crate) mod call;
--- a/src/relay/proxy/stream.rs
+++ b/src/relay/proxy/stream.rs
@@ -123,11 +123,11 @@
     let mut is_admitted = false;
     loop {
         if let Some(fault) = series.check_quarantine(shared, job) {
-            ledger.series_end = Some(RetryStop::Quarantined);
+            ledger.retry_stop = Some(RetryStop::Quarantined);
             return fail_stream(progress.output, &series, fault, ledger).await;
         }
         let Some(mut placement) = series.place(shared, job) else {
-            ledger.series_end = Some(RetryStop::NoTarget);
+            ledger.retry_stop = Some(RetryStop::NoTarget);
             let fault = series.final_fault(shared, job, false);
             return fail_stream(progress.output, &series, fault, ledger).await;
         };
@@ -161,8 +161,9 @@
             Err(fault) => {
                 let is_timeout = fault.is_timeout;
                 ledger.digest = Some(job.digest());
-                if let Err(end) = series.record_fault(shared, job, &placement.target, fault).await {
-                    ledger.series_end = Some(end);
+                if let Err(stop) = series.record_fault(shared, job, &placement.target, fault).await
+                {
+                    ledger.retry_stop = Some(stop);
                     let fault = series.final_fault(shared, job, is_timeout);
                     return fail_stream(progress.output, &series, fault, ledger).await;
                 }
@@ -233,21 +234,21 @@
     may_hedge: bool,
 ) -> Result<StatusCode, AttemptFault> {
     let OpenAnswer { mut guard, mut parts, mut body, head } = answer;
-    let (status, target) = (parts.status, guard.share.target.clone());
+    let (status, target) = (parts.status, guard.attempt.target.clone());
     (shared.target_protocol.clear_answer)(&mut parts.headers);
     parts.headers.remove(CONTENT_LENGTH);
     let mut start = Some(Response::from_parts(parts, ()));
     // The first event arrives when prefill is finished, each later one at the end of a forward
     // pass.
-    while let Some(frame) = next_frame(shared, job, &guard.share, &mut body, may_hedge).await? {
+    while let Some(frame) = next_frame(shared, job, &guard.attempt, &mut body, may_hedge).await? {
         if progress.first_event_at.is_some() {
             shared.core.borrow_mut().record_pass(&target, shared.now());
         } else {
-            shared.core.borrow_mut().record_first_event(&guard.share, shared.now());
+            shared.core.borrow_mut().record_first_event(&guard.attempt, shared.now());
         }
         progress.first_event_at.get_or_insert(shared.now());
         let events = progress.splitter.push(&frame);
-        let events = events.map_err(|_| AttemptFault::garbled("no stream of events"))?;
+        let events = events.map_err(|_| AttemptFault::malformed("no stream of events"))?;
         let Some(events) = events else { continue };
         if let Some(start) = start.take()
             && !progress.output.is_started()
@@ -289,13 +290,13 @@
     let status = parts.status;
     let answer = Response::from_parts(parts, complete_body);
     if status.is_server_error() && job.route.repeat.is_repeatable() {
-        let mut fault = AttemptFault::garbled(format!("the target answered {}", status.as_u16()));
+        let mut fault = AttemptFault::malformed(format!("the target answered {}", status.as_u16()));
         fault.fault = TargetFault::Error;
         fault.verdict = Verdict::Ran;
         return Err(fault);
     }
     if output.is_started() {
-        return Err(AttemptFault::garbled("the stream could not be continued"));
+        return Err(AttemptFault::malformed("the stream could not be continued"));
     }
     output.send_start(StreamStart::Buffered(answer));
     Ok(status)
@@ -305,7 +306,7 @@
 async fn next_frame(
     shared: &RelayShared,
     job: &RelayJob,
-    share: &PlacedAttempt,
+    attempt: &PlacedAttempt,
     body: &mut Incoming,
     may_hedge: bool,
 ) -> Result<Option<Bytes>, AttemptFault> {
@@ -320,7 +321,7 @@
             }
             // A long forward pass is no fault of the target, but callers of short prompts do not
             // wait for its end.
-            let pass_left = shared.core.borrow_mut().time_to_pass_end(&share.target, now);
+            let pass_left = shared.core.borrow_mut().time_to_pass_end(&attempt.target, now);
             if pass_left.is_zero() || job.route.objective < LONG_PASS_OBJECTIVE {
                 return Err(AttemptFault::silent("the stream stands still"));
             }
@@ -329,7 +330,7 @@
         };
         let Some(frame) = frame else { return Ok(None) };
         let frame = frame.map_err(|error| AttemptFault::broken(error.to_string()))?;
-        shared.core.borrow_mut().record_received(&share.target, shared.now());
+        shared.core.borrow_mut().record_received(&attempt.target, shared.now());
         if let Ok(data) = frame.into_data() {
             return Ok(Some(data));
         }
