--- a/tests/relay/crashes.rs
+++ b/tests/relay/crashes.rs
@@ -17,7 +17,7 @@
 use crate::fixture::{at, limits, ms, name, need, rates, record};
 
 /// Number of targets that may run a request by its route, plus one run after lost answers.
-const MOST_RUNS: usize = 3;
+const MAX_RUNS: usize = 3;
 
 /// An entry that knows the given number of engines.
 fn entry(engines: u8) -> RelayCore {
@@ -43,7 +43,7 @@
     let mut count = SendCount::default();
     let mut tried: Vec<Arc<str>> = Vec::new();
     let mut sends = 0;
-    while count.allows(MOST_RUNS) {
+    while count.allows(MAX_RUNS) {
         let need = need(300_000);
         let scope = TargetScope::Untried(&tried);
         let Some(Placement { target, helpers, .. }) =
@@ -117,35 +117,35 @@
 fn refusals_for_lack_of_capacity_are_bounded() {
     let mut count = SendCount::default();
     for _ in 0..5 {
-        assert!(count.allows(MOST_RUNS));
+        assert!(count.allows(MAX_RUNS));
         count.record(SendEnd::Refused);
     }
-    assert!(!count.allows(MOST_RUNS));
+    assert!(!count.allows(MAX_RUNS));
 }
 
 #[test]
 fn runs_are_bounded_by_the_route() {
     let mut count = SendCount::default();
-    for _ in 0..MOST_RUNS {
-        assert!(count.allows(MOST_RUNS));
+    for _ in 0..MAX_RUNS {
+        assert!(count.allows(MAX_RUNS));
         count.record(SendEnd::MayHaveRun);
     }
-    assert!(!count.allows(MOST_RUNS));
+    assert!(!count.allows(MAX_RUNS));
 }
 
 #[test]
 fn an_agent_polls_its_engine_at_once_if_an_entry_suspects_it() {
-    let mut watch = EngineHealth::default();
-    assert!(!watch.is_due(false, at(0)), "nothing to do");
-    watch.record_suspicion(entry_address(1), at(5));
-    assert!(watch.is_due(false, at(10)));
-    assert!(watch.record_report(PollResult::Refused));
-    assert!(!watch.is_due(false, at(20)));
-    watch.record_suspicion(entry_address(1), at(45));
-    assert!(!watch.is_due(false, at(50)), "some entries suspect it at the same moment");
-    assert!(watch.is_due(false, at(410)), "polled again while it is down");
-    assert!(!watch.record_report(PollResult::Pace(150)));
-    assert_eq!(watch.pace_percent(), 150);
+    let mut health = EngineHealth::default();
+    assert!(!health.is_due(false, at(0)), "nothing to do");
+    health.record_suspicion(entry_address(1), at(5));
+    assert!(health.is_due(false, at(10)));
+    assert!(health.record_report(PollResult::Refused));
+    assert!(!health.is_due(false, at(20)));
+    health.record_suspicion(entry_address(1), at(45));
+    assert!(!health.is_due(false, at(50)), "some entries suspect it at the same moment");
+    assert!(health.is_due(false, at(410)), "polled again while it is down");
+    assert!(!health.record_report(PollResult::Pace(150)));
+    assert_eq!(health.pace_percent(), 150);
 }
 
 fn entry_address(number: u8) -> SocketAddr {
@@ -157,26 +157,26 @@
 /// left then; 85 requests of all kinds failed in ten seconds.
 #[test]
 fn an_agent_reports_an_engine_that_two_entries_suspect() {
-    let mut watch = EngineHealth::default();
-    assert!(!watch.record_suspicion(entry_address(1), at(0)));
-    assert!(!watch.record_suspicion(entry_address(1), at(200)), "one entry may be disconnected");
-    assert!(watch.record_suspicion(entry_address(2), at(300)));
-    assert!(!watch.record_suspicion(entry_address(3), at(310)), "reported a moment ago");
-    assert!(watch.record_suspicion(entry_address(3), at(450)), "and still suspected");
-    assert!(!watch.record_report(PollResult::Pace(100)), "its report does not show the failure");
+    let mut health = EngineHealth::default();
+    assert!(!health.record_suspicion(entry_address(1), at(0)));
+    assert!(!health.record_suspicion(entry_address(1), at(200)), "one entry may be disconnected");
+    assert!(health.record_suspicion(entry_address(2), at(300)));
+    assert!(!health.record_suspicion(entry_address(3), at(310)), "reported a moment ago");
+    assert!(health.record_suspicion(entry_address(3), at(450)), "and still suspected");
+    assert!(!health.record_report(PollResult::Pace(100)), "its report does not show the failure");
     assert!(
-        !watch.record_suspicion(entry_address(4), at(2_000)),
+        !health.record_suspicion(entry_address(4), at(2_000)),
         "the other suspicions are outdated"
     );
 }
 
 #[test]
 fn one_late_report_does_not_make_an_engine_down() {
-    let mut watch = EngineHealth::default();
-    assert!(!watch.record_report(PollResult::Missed));
-    assert!(!watch.record_report(PollResult::Pace(100)));
-    assert!(!watch.record_report(PollResult::Missed));
-    assert!(watch.record_report(PollResult::Missed));
+    let mut health = EngineHealth::default();
+    assert!(!health.record_report(PollResult::Missed));
+    assert!(!health.record_report(PollResult::Pace(100)));
+    assert!(!health.record_report(PollResult::Missed));
+    assert!(health.record_report(PollResult::Missed));
 }
 
 /// Entries are counted even if each agent knows only a part of them.
--- a/tests/relay/evacuations.rs
+++ b/tests/relay/evacuations.rs
@@ -66,10 +66,10 @@
     let tried = [name("a")];
     let scope = TargetScope::Untried(&tried);
     let placement = core.place("engines", Some(&need(5_000)), scope, at(10)).unwrap();
-    let share = core.begin_attempt(&placement, Some(&need(5_000)), at(10));
-    assert!(core.may_send(&share, at(11)));
+    let attempt = core.begin_attempt(&placement, Some(&need(5_000)), at(10));
+    assert!(core.may_send(&attempt, at(11)));
     core.apply_evacuations(evacuation(&["there"]), at(12), at(13));
-    assert!(!core.may_send(&share, at(14)));
+    assert!(!core.may_send(&attempt, at(14)));
 }
 
 #[test]
@@ -78,9 +78,9 @@
     let mut placement = place(&mut core, 5_000, at(10)).unwrap();
     placement.target = name("a");
     placement.helpers = vec![name("b")];
-    let share = core.begin_attempt(&placement, Some(&need(5_000)), at(10));
+    let attempt = core.begin_attempt(&placement, Some(&need(5_000)), at(10));
     core.apply_evacuations(evacuation(&["there"]), at(12), at(13));
-    assert!(!core.may_send(&share, at(14)));
+    assert!(!core.may_send(&attempt, at(14)));
 }
 
 #[test]
@@ -128,7 +128,7 @@
 }
 
 /// Requests the proof of `other` at `now`, and applies the answer to `core`.
-fn share_proof(core: &mut RelayCore, other: &RelayCore, now: Tick) -> PeerVerdict {
+fn exchange_proof(core: &mut RelayCore, other: &RelayCore, now: Tick) -> PeerVerdict {
     let proof_age_ms = other.lease().age(now).map(|age| age.as_millis() as u32);
     let ack = PeerMessage::SubscriptionAck {
         target: name("t"),
@@ -162,7 +162,7 @@
     let (mut reader, mut receiver) = (core(1), core(2));
     reader.apply_evacuations(evacuation(&["there"]), at(2_000), at(2_010));
     reader.apply_config(None, at(2_000));
-    let verdict = share_proof(&mut receiver, &reader, at(2_500));
+    let verdict = exchange_proof(&mut receiver, &reader, at(2_500));
     assert!(matches!(verdict, PeerVerdict::ProvenAt(_)));
     assert_eq!(receiver.evacuated_domains().collect::<Vec<_>>(), [&name("there")]);
     assert!(!receiver.targets.get("b").unwrap().is_usable(at(2_510)));
@@ -176,7 +176,7 @@
     reader.apply_evacuations(evacuation(&["there"]), at(2_000), at(2_010));
     reader.apply_config(Some(RelayConfig { version: 2, ..RelayConfig::default() }), at(2_000));
     reader.set_config_revision(revision(5));
-    assert_eq!(share_proof(&mut receiver, &reader, at(2_500)), PeerVerdict::Behind);
+    assert_eq!(exchange_proof(&mut receiver, &reader, at(2_500)), PeerVerdict::Behind);
     assert_eq!(
         receiver.evacuated_domains().count(),
         0,
@@ -186,7 +186,7 @@
     assert_eq!(receiver.evacuated_domains().count(), 1);
 }
 
-/// A store that was restored from a copy may have lost later writes.
+/// A store that was restored from a backup may have lost later writes.
 #[test]
 fn a_restored_store_does_not_end_an_evacuation_at_once() {
     let mut set = EvacuationSet::default();
--- a/tests/relay/fixture.rs
+++ b/tests/relay/fixture.rs
@@ -60,7 +60,7 @@
     })
 }
 
-/// A revision of a store that was never restored from a copy.
+/// A revision of a store that was never restored from a backup.
 pub fn revision(number: u64) -> StoreRevision {
     StoreRevision { epoch: 0, number }
 }
@@ -141,17 +141,17 @@
     need(prompt).to_helper_load(rates().prefill_time(prompt), shards)
 }
 
-pub fn need(prompt: u64) -> PromptNeed {
-    let (first, pause) = match prompt {
+pub fn need(prompt_tokens: u64) -> PromptNeed {
+    let (first, pause) = match prompt_tokens {
         0..=24_000 => (300, 200),
         24_001..=110_000 => (1_500, 500),
         _ => (3_000, 800),
     };
-    let (first_limit, longest_pause) = (ms(first), ms(pause));
+    let (first_event_limit, longest_pause) = (ms(first), ms(pause));
     PromptNeed {
-        prompt_tokens: prompt,
+        prompt_tokens,
         answer_tokens: 800,
-        first_event_limit: first_limit,
+        first_event_limit,
         waited: ms(0),
         time_left: ms(10_000),
         longest_pause,
--- a/tests/relay/instances.rs
+++ b/tests/relay/instances.rs
@@ -11,8 +11,8 @@
 
 use crate::fixture::{at, limits, name, need, rates, record, revision};
 
-fn started_at(start_ms: u64) -> TargetRecord {
-    TargetRecord { started_ms: start_ms, ..record("a", 1) }
+fn started_at(started_ms: u64) -> TargetRecord {
+    TargetRecord { started_ms, ..record("a", 1) }
 }
 
 fn core_of(records: Vec<TargetRecord>) -> RelayCore {
@@ -99,23 +99,23 @@
 /// interruption was.
 #[test]
 fn an_agent_reports_a_new_instance() {
-    let mut watch = EngineHealth::default();
-    watch.record_started(100);
-    watch.record_report(PollResult::Pace(100));
-    assert_eq!(watch.take_exit(), None);
-    watch.record_started(200);
+    let mut health = EngineHealth::default();
+    health.record_started(100);
+    health.record_report(PollResult::Pace(100));
+    assert_eq!(health.take_exit(), None);
+    health.record_started(200);
     for _ in 0..3 {
         assert_eq!(
-            watch.take_exit(),
+            health.take_exit(),
             Some(EngineExit { next_ms: Some(200) }),
             "a datagram may be lost"
         );
     }
-    assert_eq!(watch.take_exit(), None);
-    watch.record_report(PollResult::Refused);
-    assert_eq!(watch.take_exit(), None, "a single refusal may be due to too many connections");
-    watch.record_report(PollResult::Refused);
-    assert_eq!(watch.take_exit(), Some(EngineExit { next_ms: None }));
+    assert_eq!(health.take_exit(), None);
+    health.record_report(PollResult::Refused);
+    assert_eq!(health.take_exit(), None, "a single refusal may be due to too many connections");
+    health.record_report(PollResult::Refused);
+    assert_eq!(health.take_exit(), Some(EngineExit { next_ms: None }));
 }
 
 #[test]
--- a/tests/relay/notices.rs
+++ b/tests/relay/notices.rs
@@ -104,11 +104,12 @@
 #[test]
 fn a_notice_after_the_placement_prevents_the_send() {
     let mut core = core_of(&["a", "b"]);
-    let share = begin(&mut core, at(0));
-    assert!(core.may_send(&share, at(10)));
-    core.apply_notice(share.instance.as_ref().unwrap(), &backoff(3_000), at(20));
-    assert!(!core.may_send(&share, at(30)));
-    let helped = PlacedAttempt { helpers: vec![share.target.clone()], ..begin(&mut core, at(30)) };
+    let attempt = begin(&mut core, at(0));
+    assert!(core.may_send(&attempt, at(10)));
+    core.apply_notice(attempt.instance.as_ref().unwrap(), &backoff(3_000), at(20));
+    assert!(!core.may_send(&attempt, at(30)));
+    let helped =
+        PlacedAttempt { helpers: vec![attempt.target.clone()], ..begin(&mut core, at(30)) };
     assert!(!core.may_send(&helped, at(30)), "a helper backs off");
 }
 
@@ -207,17 +208,17 @@
 #[test]
 fn the_notices_of_removed_targets_are_bounded() {
     const MAX: usize = 1_024;
-    let mut memory = NoticeCache::default();
+    let mut cache = NoticeCache::default();
     let leaving = NoticeState { is_leaving: true, backoff_until: Tick::default() };
     let nth = |number: usize| record(&format!("t{number}"), 1);
     for number in 0..2 * MAX {
-        memory.insert(&nth(number), leaving, at(number as u64));
+        cache.insert(&nth(number), leaving, at(number as u64));
     }
-    assert_eq!(memory.len(), MAX);
-    assert_eq!(memory.restore(&nth(0), at(3_000)), NoticeState::default());
-    assert_eq!(memory.restore(&nth(2 * MAX - 1), at(3_000)), leaving);
-    assert_eq!(memory.restore(&nth(2 * MAX - 1), at(3_000)), NoticeState::default(), "once");
+    assert_eq!(cache.len(), MAX);
+    assert_eq!(cache.restore(&nth(0), at(3_000)), NoticeState::default());
+    assert_eq!(cache.restore(&nth(2 * MAX - 1), at(3_000)), leaving);
+    assert_eq!(cache.restore(&nth(2 * MAX - 1), at(3_000)), NoticeState::default(), "once");
     let later = at(3_000) + Duration::from_secs(60);
-    assert_eq!(memory.restore(&nth(2 * MAX - 2), later), NoticeState::default());
-    assert!(memory.is_empty());
+    assert_eq!(cache.restore(&nth(2 * MAX - 2), later), NoticeState::default());
+    assert!(cache.is_empty());
 }
--- a/tests/relay/placement.rs
+++ b/tests/relay/placement.rs
@@ -88,7 +88,12 @@
     let placement = place(&set, &need).unwrap();
     let reserved: u64 = placement.reservations.iter().map(|reservation| reservation.tokens).sum();
     assert!(reserved + 405_000 >= need.prompt_tokens + need.answer_tokens);
-    assert!(placement.reservations.iter().all(|seat| placement.helpers.contains(&seat.target)));
+    assert!(
+        placement
+            .reservations
+            .iter()
+            .all(|reservation| placement.helpers.contains(&reservation.target))
+    );
 }
 
 #[test]
@@ -147,9 +152,9 @@
 #[test]
 fn a_prompt_that_waited_is_refused_if_it_costs_others_more_than_its_value() {
     let need = PromptNeed { waited: ms(400), ..need(210_000) };
-    let harm = need.value() * 1.2;
+    let delay_cost = need.value() * 1.2;
     let placement =
-        Placement { first_event: ms(1_900), delay_cost: harm, own_loss: 4.0, ..late_placement(1) };
+        Placement { first_event: ms(1_900), delay_cost, own_loss: 4.0, ..late_placement(1) };
     assert_eq!(action(&placement, &need), PlacementAction::Refuse);
 }
 
@@ -297,8 +302,8 @@
 /// were weighed against later arrivals.
 #[test]
 fn an_admitted_prompt_is_not_refused_in_favour_of_later_arrivals() {
-    let placement = |cost_to_future| Placement {
-        opportunity_cost: cost_to_future,
+    let placement = |opportunity_cost| Placement {
+        opportunity_cost,
         own_loss: 5.0,
         delay_cost: 3.0,
         ..place(&engines(6), &need(400_000)).unwrap()
--- a/tests/relay/quarantine.rs
+++ b/tests/relay/quarantine.rs
@@ -23,7 +23,7 @@
 const JOIN_WINDOW: Duration = Duration::from_millis(100);
 
 /// Unix time of tick zero in these tests, in milliseconds.
-const EPOCH_MS: u64 = 1_700_000_000_000;
+const UNIX_ORIGIN_MS: u64 = 1_700_000_000_000;
 
 fn digest(body: &str) -> RequestDigest {
     RequestDigest::of(Some("acme"), "h.example", "/x", body.as_bytes())
@@ -188,8 +188,8 @@
         set.on_message(&subscribe, *entry, 100, at(0));
     }
     let report = |instances: &[u64]| {
-        let crashed = instances.iter().map(|number| instance(*number)).collect();
-        PeerMessage::RequestSuspected(SuspectReport { digest: digest("a"), instances: crashed })
+        let instances = instances.iter().map(|number| instance(*number)).collect();
+        PeerMessage::RequestSuspected(SuspectReport { digest: digest("a"), instances })
     };
     assert!(set.on_message(&report(&[1]), entries[0], 100, at(10)).is_empty());
     let out = set.on_message(&report(&[2]), entries[1], 100, at(20));
@@ -222,19 +222,26 @@
 #[test]
 fn a_process_that_starts_later_reads_the_quarantine_from_the_store() {
     let mut ledger = ledger_of("a", &[1, 2, 3]);
-    let records = ledger.due_records(EPOCH_MS, at(400)).unwrap();
-    assert!(ledger.due_records(EPOCH_MS, at(410)).is_none(), "not again at once");
-    assert!(ledger.due_records(EPOCH_MS, at(1_000)).is_some(), "retried until the store shows it");
-    ledger.apply_records(&records, EPOCH_MS, at(1_100));
+    let records = ledger.due_records(UNIX_ORIGIN_MS, at(400)).unwrap();
+    assert!(ledger.due_records(UNIX_ORIGIN_MS, at(410)).is_none(), "not again at once");
+    assert!(
+        ledger.due_records(UNIX_ORIGIN_MS, at(1_000)).is_some(),
+        "retried until the store shows it"
+    );
+    ledger.apply_records(&records, UNIX_ORIGIN_MS, at(1_100));
     assert_eq!(ledger.quarantined().write_due(), None);
     let mut later = QuarantineLedger::default();
-    later.apply_records(&records, EPOCH_MS + 60_000, at(0));
+    later.apply_records(&records, UNIX_ORIGIN_MS + 60_000, at(0));
     let left = later.quarantined().quarantine_left(&digest("a"), at(0)).unwrap();
     assert!(left > ms(535_000) && left < ms(545_000), "{left:?}");
     // A record that another process removed from the object is written again.
-    later.apply_records(&[], EPOCH_MS + 60_000, at(10));
-    assert_eq!(later.due_records(EPOCH_MS, at(10)), None, "another process may write it first");
-    assert_eq!(later.due_records(EPOCH_MS, at(1_010)).unwrap(), records);
+    later.apply_records(&[], UNIX_ORIGIN_MS + 60_000, at(10));
+    assert_eq!(
+        later.due_records(UNIX_ORIGIN_MS, at(10)),
+        None,
+        "another process may write it first"
+    );
+    assert_eq!(later.due_records(UNIX_ORIGIN_MS, at(1_010)).unwrap(), records);
 }
 
 #[test]
@@ -247,11 +254,11 @@
     let records: Vec<_> = (0..500)
         .map(|number| QuarantineRecord {
             digest: digest(&format!("h{number}")),
-            since_ms: EPOCH_MS,
+            since_ms: UNIX_ORIGIN_MS,
             renewals: 0,
         })
         .collect();
-    ledger.apply_records(&records, EPOCH_MS, at(5_000));
+    ledger.apply_records(&records, UNIX_ORIGIN_MS, at(5_000));
     assert!(ledger.quarantined().active_count(at(5_000)) <= 64);
 }
 
@@ -259,12 +266,12 @@
 /// not replace the current one, even if it carries a quarantine.
 #[test]
 fn the_quarantine_comes_with_the_configuration() {
-    let record = QuarantineRecord { digest: digest("a"), since_ms: EPOCH_MS, renewals: 0 };
+    let record = QuarantineRecord { digest: digest("a"), since_ms: UNIX_ORIGIN_MS, renewals: 0 };
     let config = RelayConfig { version: 5, ..RelayConfig::default() };
     let quarantining = RelayConfig { quarantine: vec![record], ..config.clone() };
     let update = |config| config_update(revision(9), config);
     let mut core = RelayCore::new(limits(StalePolicy::FailClosed), 1);
-    core.set_unix_origin(EPOCH_MS);
+    core.set_unix_origin(UNIX_ORIGIN_MS);
     assert!(core.apply_config(Some(config.clone()), at(0)));
     assert!(!core.apply_update(update(quarantining.clone()), at(10)), "the same version");
     assert!(core.quarantine().quarantined().quarantine_left(&digest("a"), at(20)).is_some());
--- a/tests/relay/rates.rs
+++ b/tests/relay/rates.rs
@@ -185,8 +185,8 @@
     let need = need(5_000);
     let mut placement =
         core.place("engines", Some(&need), TargetScope::Untried(&[]), at(20)).unwrap();
-    let share = core.begin_attempt(&placement, Some(&need), at(20));
-    assert!(!core.may_send(&share, at(20)), "sent without a permit");
+    let attempt = core.begin_attempt(&placement, Some(&need), at(20));
+    assert!(!core.may_send(&attempt, at(20)), "sent without a permit");
     let query = core.permit_query(&placement, ms(0), at(20)).unwrap();
     let reply = Some(PermitReply::Granted { after_ms: 100 });
     let PermitVerdict::SendWithin { from, until } = core.apply_permit(&query, reply, at(30)) else {
@@ -194,9 +194,9 @@
     };
     assert_eq!(from, at(130));
     placement.send_before = Some(until);
-    let share = core.begin_attempt(&placement, Some(&need), at(130));
-    assert!(core.may_send(&share, at(140)));
-    assert!(!core.may_send(&share, at(900)));
+    let attempt = core.begin_attempt(&placement, Some(&need), at(130));
+    assert!(core.may_send(&attempt, at(140)));
+    assert!(!core.may_send(&attempt, at(900)));
 }
 
 /// A request that was placed before its target stated a rate needs a permit.
@@ -205,9 +205,9 @@
     let mut core = core_of(1, &["a"]);
     let need = need(5_000);
     let placement = core.place("engines", Some(&need), TargetScope::Untried(&[]), at(0)).unwrap();
-    let share = core.begin_attempt(&placement, Some(&need), at(0));
+    let attempt = core.begin_attempt(&placement, Some(&need), at(0));
     core.apply_rate(&instance("a"), RateNotice::Limit(rate(2.0)), Some(at(0)), at(10));
-    assert!(!core.may_send(&share, at(20)));
+    assert!(!core.may_send(&attempt, at(20)));
 }
 
 #[test]
@@ -411,9 +411,9 @@
 #[test]
 fn an_agent_polls_a_rate_limited_engine_less_often() {
     let polls = |is_rate_limited| {
-        let mut watch = EngineHealth::default();
-        watch.set_rate_limited(is_rate_limited);
-        (0..80).filter(|step| watch.is_due(true, at(step * 100))).count()
+        let mut health = EngineHealth::default();
+        health.set_rate_limited(is_rate_limited);
+        (0..80).filter(|step| health.is_due(true, at(step * 100))).count()
     };
     assert_eq!((polls(false), polls(true)), (20, 4));
 }
--- a/tests/relay/restored_store.rs
+++ b/tests/relay/restored_store.rs
@@ -90,8 +90,8 @@
     assert_eq!((core.config_revision().epoch, core.config_revision().number), (2, 5));
 }
 
-fn update(since: StoreRevision, mark: StoreRevision) -> TargetListUpdate {
-    TargetListUpdate { since, revision: mark, age_ms: 0, changes: Vec::new() }
+fn update(since: StoreRevision, revision: StoreRevision) -> TargetListUpdate {
+    TargetListUpdate { since, revision, age_ms: 0, changes: Vec::new() }
 }
 
 fn sync_at(revision: StoreRevision) -> TargetListSync {
--- a/tests/relay/target_list_updates.rs
+++ b/tests/relay/target_list_updates.rs
@@ -100,8 +100,8 @@
         (revision(8), TargetChange::Removed(name("b"))),
         (revision(11), TargetChange::Listed(record("c", 3))),
     ];
-    let (since, mark) = (revision(5), revision(11));
-    let all = WatchedChanges { changes, since, revision: mark, known_at: at(90) };
+    let (since, until) = (revision(5), revision(11));
+    let all = WatchedChanges { changes, since, revision: until, known_at: at(90) };
     let update =
         other_watcher.apply_watched(all, false, at(2_000)).1.expect("it has later changes");
     assert_eq!((update.since, update.revision), (revision(8), revision(11)));
--- a/tests/relay/warmups.rs
+++ b/tests/relay/warmups.rs
@@ -47,8 +47,8 @@
     core
 }
 
-fn listed(warmup_ms: Option<u32>, born_ms: u64) -> TargetRecord {
-    TargetRecord { warmup_ms, started_ms: born_ms, ..record("a", 1) }
+fn listed(warmup_ms: Option<u32>, started_ms: u64) -> TargetRecord {
+    TargetRecord { warmup_ms, started_ms, ..record("a", 1) }
 }
 
 fn is_cold(core: &RelayCore, now: Tick) -> bool {
@@ -117,9 +117,9 @@
     let mut core = core_of_one(1);
     let need = need(5_000);
     let placement = core.place("engines", Some(&need), TargetScope::Untried(&[]), at(10)).unwrap();
-    let share = core.begin_attempt(&placement, Some(&need), at(10));
+    let attempt = core.begin_attempt(&placement, Some(&need), at(10));
     core.apply_change(listed(Some(2_000), 0), at(11));
-    assert!(!core.may_send(&share, at(12)));
+    assert!(!core.may_send(&attempt, at(12)));
 }
 
 #[test]
@@ -140,9 +140,8 @@
 #[test]
 fn an_agent_limits_entries_that_do_not_know_that_the_target_is_cold() {
     let mut issuer = PermitIssuer::default();
-    let target = record("a", 1).to_instance();
-    let update =
-        RateUpdate { instance: target, rate: RateLimit::from_per_second(1_000.0), age_ms: 0 };
+    let instance = record("a", 1).to_instance();
+    let update = RateUpdate { instance, rate: RateLimit::from_per_second(1_000.0), age_ms: 0 };
     let warmup = WarmupUpdate { rate: RateLimit::from_per_second(2.0).unwrap(), left_ms: 3_000 };
     let request =
         |warmup| PermitRequest { rate: update.clone(), warmup, max_wait_ms: 0, is_second: false };
