--- a/src/relay/decide/mod.rs
+++ b/src/relay/decide/mod.rs
@@ -9,8 +9,8 @@
 //! - [`evacuation`]: failure domains that are out of service, and [`service_scope`]: the
 //!   failure domains in which a request may run.
 //! - [`engine_subset`]: the engines of a large fleet that an entry uses.
-//! - [`engine_rates`], [`stream_load`], [`pass_model`], [`engine_snapshot`]: the cost of a
-//!   prompt for an engine and for the requests there.
+//! - [`engine_rates`], [`stream_load`], `pending_prefill`, [`pass_model`], [`engine_snapshot`]:
+//!   the cost of a prompt for an engine and for the requests there.
 //! - [`loss`]: what requests lose by coming late.
 //! - [`policy`]: weights and switches of the decisions.
 //! - [`group_search`]: the engines that prefill a prompt, and the one that decodes its answer.
--- a/src/relay/decide/pass_model.rs
+++ b/src/relay/decide/pass_model.rs
@@ -279,7 +279,7 @@
         }
     }
 
-    /// Requeues prefills that can not have finished in the pass that ends at `at`, since they
+    /// Requeues prefills that cannot have finished in the pass that ends at `at`, since they
     /// arrived after the engine had started that pass. Without this, the shard of a prompt of
     /// 850,000 tokens counted as prefilled after 50 ms, and short prompts were sent to an
     /// engine that prefilled for another 1.5 s and more.
--- a/src/relay/decide/placement.rs
+++ b/src/relay/decide/placement.rs
@@ -224,7 +224,7 @@
         self.delay_cost * step.as_secs_f32() > delay_loss * fade_time
     }
 
-    /// Returns `true` if refusing the prompt loses less than serving it, or if it can not be
+    /// Returns `true` if refusing the prompt loses less than serving it, or if it cannot be
     /// served before its deadline.
     ///
     /// Unless the policy reprices, the opportunity cost counts only when a prompt arrives: an
--- a/src/relay/decide/quarantine_list.rs
+++ b/src/relay/decide/quarantine_list.rs
@@ -224,8 +224,8 @@
 
     /// Applies the records of the store, read at a Unix time.
     ///
-    /// `instances_of` removes and returns the instances that are known of a request that was
-    /// not in this list.
+    /// `instances_of` removes and returns the instances that are known to have crashed under a
+    /// request that was not in this list.
     pub fn apply_records(
         &mut self,
         records: &[QuarantineRecord],
--- a/src/relay/discovery/freshness.rs
+++ b/src/relay/discovery/freshness.rs
@@ -16,11 +16,11 @@
 /// reads.
 const ISOLATED_LAG: Duration = Duration::from_millis(3_500);
 
-/// What a process does while it can not prove its configuration current.
+/// What a process does while it cannot prove its configuration current.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StalePolicy {
     /// Rejects requests that need a key: a revoked key must stop working within the bound, even at
-    /// a process that can not learn of the revocation.
+    /// a process that cannot learn of the revocation.
     FailClosed,
     /// Keeps serving by the last proven configuration. A process that never had one admits no
     /// request.
--- a/src/relay/discovery/source.rs
+++ b/src/relay/discovery/source.rs
@@ -22,7 +22,7 @@
     pub store_revision: StoreRevision,
     /// The configuration, `None` if its revision is the known one.
     pub config: Option<RelayConfig>,
-    /// Why quarantine records beside the configuration can not be read.
+    /// Why quarantine records beside the configuration cannot be read.
     pub unreadable: Vec<String>,
 }
 
@@ -33,7 +33,7 @@
     pub revision: StoreRevision,
     /// The configuration.
     pub config: RelayConfig,
-    /// Why quarantine records beside the configuration can not be read.
+    /// Why quarantine records beside the configuration cannot be read.
     pub unreadable: Vec<String>,
 }
 
@@ -77,7 +77,7 @@
     }
 }
 
-/// A store entry of the list that can not be read.
+/// A store entry of the list that cannot be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnreadableEntry {
     /// Its name, if that can be read.
@@ -100,12 +100,12 @@
 pub enum TargetEvent {
     /// It changed, or was removed.
     Changed(TargetChange),
-    /// It can not be read any more.
+    /// It cannot be read any more.
     Unreadable(UnreadableEntry),
 }
 
 impl TargetUpdate {
-    /// Splits the answer into changes, each with its revision, and the store entries that can not
+    /// Splits the answer into changes, each with its revision, and the store entries that cannot
     /// be read. Such an entry describes no target, so a target that was listed under its name is
     /// removed.
     #[must_use]
--- a/src/relay/discovery/target_list_sync.rs
+++ b/src/relay/discovery/target_list_sync.rs
@@ -7,7 +7,7 @@
 //! election: agents report how many watchers they know, and each entry decides by a random number
 //! to start watching if there are too few watchers, or to stop if there are too many. An entry that
 //! learns of no watcher watches. So a small fleet, a fleet that has just started, and an entry that
-//! its peers can not reach all watch.
+//! its peers cannot reach all watch.
 //!
 //! An update states the revision of the last change before it and of the last change in it, so a
 //! lost update is noticed: by the next update, or by the revisions of watchers that agents report.
@@ -112,7 +112,7 @@
     Gap,
 }
 
-/// What this entry knows of the list, and whether it watches it.
+/// What this entry knows about the list, and whether it watches it.
 #[derive(Debug)]
 pub struct TargetListSync {
     is_watching: bool,
@@ -304,7 +304,7 @@
         self.is_watching = if others <= 0.0 {
             true
         } else if was_watching {
-            // An entry that knows of an outstanding update watches until it has it.
+            // An entry that is behind an announced revision keeps watching until it has caught up.
             let is_surplus = others + 1.0 > MAX_WATCHERS && self.behind_since.is_none();
             !is_surplus || jitter >= 1.0 - DESIRED_WATCHERS / (others + 1.0)
         } else {
--- a/src/relay/peers/config_copy.rs
+++ b/src/relay/peers/config_copy.rs
@@ -43,7 +43,7 @@
     ///
     /// # Errors
     ///
-    /// The configuration can not be encoded, which does not happen with a decoded one.
+    /// The configuration cannot be encoded, which does not happen with a decoded one.
     pub fn to_bytes(&self) -> Result<Vec<u8>> {
         let mut bytes = Vec::new();
         ciborium::into_writer(self, &mut bytes)
--- a/src/relay/peers/coordinator.rs
+++ b/src/relay/peers/coordinator.rs
@@ -30,7 +30,7 @@
 ///
 /// # Errors
 ///
-/// Its address can not be bound.
+/// Its address cannot be bound.
 pub async fn run_coordinator(
     settings: CoordinatorSettings,
     protocol: TargetProtocol,
@@ -103,7 +103,7 @@
 
 fn send_all(socket: &UdpSocket, messages: Vec<OutboundMessage>) {
     for out in messages {
-        // A message that can not be sent now is worthless later.
+        // A message that cannot be sent now is worthless later.
         if let Ok(bytes) = out.message.to_bytes() {
             drop(socket.try_send_to(&bytes, out.to));
         }
--- a/src/relay/peers/engine_health.rs
+++ b/src/relay/peers/engine_health.rs
@@ -51,7 +51,7 @@
     Pace(u32),
     /// The connection was refused.
     Refused,
-    /// There was no report in time, or it can not be read.
+    /// There was no report in time, or it cannot be read.
     Missed,
 }
 
--- a/src/relay/peers/peer_link.rs
+++ b/src/relay/peers/peer_link.rs
@@ -110,7 +110,7 @@
 
     /// Sends a message to another process.
     pub(crate) fn send_to(&self, address: SocketAddr, message: &PeerMessage) {
-        // A message that can not be sent now is worthless later, and one that is too long would not
+        // A message that cannot be sent now is worthless later, and one that is too long would not
         // be read: entries that need it read the store.
         if let Ok(bytes) = message.to_bytes()
             && bytes.len() <= MAX_DATAGRAM_BYTES
--- a/src/relay/peers/peer_message.rs
+++ b/src/relay/peers/peer_message.rs
@@ -94,7 +94,7 @@
     /// An entry queries another one for the age of its proof.
     #[serde(rename = "q")]
     QueryProof {
-        /// Identifies the query; other processes can not guess it.
+        /// Identifies the query; other processes cannot guess it.
         nonce: u64,
     },
     /// The answer, made after the query was received.
@@ -182,7 +182,7 @@
     ///
     /// # Errors
     ///
-    /// The message can not be encoded, which does not happen with names of usual length.
+    /// The message cannot be encoded, which does not happen with names of usual length.
     pub fn to_bytes(&self) -> crate::Result<Vec<u8>> {
         let mut bytes = Vec::with_capacity(128);
         ciborium::into_writer(self, &mut bytes)
--- a/src/relay/peers/subscriber_set.rs
+++ b/src/relay/peers/subscriber_set.rs
@@ -261,7 +261,7 @@
     }
 
     /// Returns the messages to be sent while the engine is down. They inform every entry that uses
-    /// it, so that not each of them has to find out by a failed request.
+    /// it; otherwise each of them would find out by a failed request.
     #[must_use]
     pub fn to_down(&self) -> Vec<OutboundMessage> {
         self.to_all(&PeerMessage::EngineDown)
--- a/tests/relay/config_updates.rs
+++ b/tests/relay/config_updates.rs
@@ -95,7 +95,8 @@
     assert!(is_admitted(&mut other, "k3", at(2_850)));
 }
 
-/// Under frequent changes each watching entry announces from where it was last, so updates overlap.
+/// Under frequent changes each watching entry announces from its own last revision, so updates
+/// overlap.
 #[test]
 fn updates_of_different_watchers_overlap() {
     let (mut one, mut two, mut other) = (entry(1), entry(2), entry(3));
@@ -180,52 +181,52 @@
 /// A false update admits no request beyond the end of the lease, whichever process sent it.
 #[test]
 fn a_false_update_ends_with_the_lease() {
-    let (mut honest, mut deceived) = (entry(1), entry(2));
-    let mut liar = entry(3);
-    let forged = watch_update(&mut liar, 900, config(9, &["k1", "stolen"]), at(1_500));
-    assert!(deceived.apply_delta(&forged, at(1_510)));
-    assert!(is_admitted(&mut deceived, "stolen", at(1_520)), "admitted until it has to be proven");
+    let (mut correct, mut receiver) = (entry(1), entry(2));
+    let mut faulty = entry(3);
+    let forged = watch_update(&mut faulty, 900, config(9, &["k1", "stolen"]), at(1_500));
+    assert!(receiver.apply_delta(&forged, at(1_510)));
+    assert!(is_admitted(&mut receiver, "stolen", at(1_520)), "admitted until it has to be proven");
     assert!(
-        deceived.answer_proof_request(7, at(1_530)).is_none(),
+        receiver.answer_proof_request(7, at(1_530)).is_none(),
         "an unconfirmed configuration proves nothing to others"
     );
-    honest.apply_read(read(5, None), at(3_000));
-    let verdict = exchange_proof(&mut deceived, &honest, at(3_100));
+    correct.apply_read(read(5, None), at(3_000));
+    let verdict = exchange_proof(&mut receiver, &correct, at(3_100));
     assert_eq!(
         verdict,
         Some(PeerVerdict::Useless),
         "an earlier revision does not prove a later one"
     );
-    assert!(!is_admitted(&mut deceived, "stolen", at(5_760)), "the lease has expired");
-    assert!(deceived.apply_read(read(5, Some(config(1, &["k1"]))), at(5_800)));
-    assert!(is_admitted(&mut deceived, "k1", at(5_810)));
-    assert!(!is_admitted(&mut deceived, "stolen", at(5_810)));
-    assert_eq!(deceived.config_revision(), revision(5));
+    assert!(!is_admitted(&mut receiver, "stolen", at(5_760)), "the lease has expired");
+    assert!(receiver.apply_read(read(5, Some(config(1, &["k1"]))), at(5_800)));
+    assert!(is_admitted(&mut receiver, "k1", at(5_810)));
+    assert!(!is_admitted(&mut receiver, "stolen", at(5_810)));
+    assert_eq!(receiver.config_revision(), revision(5));
 }
 
 /// The same with the number of an existing revision.
 #[test]
 fn a_false_update_of_an_existing_revision_ends_with_the_lease() {
-    let (mut honest, mut deceived, mut liar) = (entry(1), entry(2), entry(3));
-    watch_update(&mut honest, 6, config(2, &["k2"]), at(1_500));
-    honest.apply_read(read(6, None), at(3_000));
-    let forged = watch_update(&mut liar, 6, config(2, &["stolen"]), at(1_500));
-    deceived.apply_delta(&forged, at(1_510));
-    let verdict = exchange_proof(&mut deceived, &honest, at(3_100));
+    let (mut correct, mut receiver, mut faulty) = (entry(1), entry(2), entry(3));
+    watch_update(&mut correct, 6, config(2, &["k2"]), at(1_500));
+    correct.apply_read(read(6, None), at(3_000));
+    let forged = watch_update(&mut faulty, 6, config(2, &["stolen"]), at(1_500));
+    receiver.apply_delta(&forged, at(1_510));
+    let verdict = exchange_proof(&mut receiver, &correct, at(3_100));
     assert_eq!(verdict, Some(PeerVerdict::Useless), "the same revision with different content");
-    assert!(deceived.apply_read(read(6, Some(config(2, &["k2"]))), at(3_200)));
-    assert!(is_admitted(&mut deceived, "k2", at(3_210)));
-    assert!(!is_admitted(&mut deceived, "stolen", at(3_210)));
+    assert!(receiver.apply_read(read(6, Some(config(2, &["k2"]))), at(3_200)));
+    assert!(is_admitted(&mut receiver, "k2", at(3_210)));
+    assert!(!is_admitted(&mut receiver, "stolen", at(3_210)));
 }
 
 #[test]
 fn the_own_watch_overrides_an_update_of_the_same_revision() {
-    let (mut deceived, mut liar) = (entry(1), entry(2));
-    let forged = watch_update(&mut liar, 6, config(2, &["stolen"]), at(1_500));
-    deceived.apply_delta(&forged, at(1_510));
-    deceived.apply_update(config_update(revision(6), config(2, &["k2"])), at(1_520));
-    assert!(is_admitted(&mut deceived, "k2", at(1_530)));
-    assert!(!is_admitted(&mut deceived, "stolen", at(1_530)));
+    let (mut receiver, mut faulty) = (entry(1), entry(2));
+    let forged = watch_update(&mut faulty, 6, config(2, &["stolen"]), at(1_500));
+    receiver.apply_delta(&forged, at(1_510));
+    receiver.apply_update(config_update(revision(6), config(2, &["k2"])), at(1_520));
+    assert!(is_admitted(&mut receiver, "k2", at(1_530)));
+    assert!(!is_admitted(&mut receiver, "stolen", at(1_530)));
 }
 
 #[test]
--- a/tests/relay/permits.rs
+++ b/tests/relay/permits.rs
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn an_order_without_a_permit_uses_one() {
+fn a_send_without_a_permit_uses_one() {
     let mut issuer = PermitIssuer::default();
     let update = RateUpdate { instance: instance("a"), rate: Some(rate(2.0)), age_ms: 0 };
     issuer.apply_updates(std::slice::from_ref(&update), at(0));
--- a/tests/relay/proofs.rs
+++ b/tests/relay/proofs.rs
@@ -124,7 +124,7 @@
     assert!(entry(2, 5, at(1_000)).answer_proof_request(7, at(6_000)).is_none());
 }
 
-/// A process that has just started can not represent a time before its start.
+/// A process that has just started cannot represent a time before its start.
 #[test]
 fn a_proof_from_before_the_start_of_the_process_is_rejected() {
     let mut sync = ProofSync::default();
--- a/tests/relay/rates.rs
+++ b/tests/relay/rates.rs
@@ -40,7 +40,7 @@
     core
 }
 
-/// When one entry sends a request that it gets at `now`; `None` if it does not.
+/// Time at which an entry sends a request that arrives at `now`; `None` if it does not send it.
 fn try_send(core: &mut RelayCore, issuer: Option<&mut PermitIssuer>, now: Tick) -> Option<Tick> {
     let need = need(5_000);
     let placement = core.place("engines", Some(&need), TargetScope::Untried(&[]), now)?;
