--- a/standins/src/chaos/targets.rs
+++ b/standins/src/chaos/targets.rs
@@ -114,7 +114,7 @@
             answer_tokens: start.answer_tokens,
             priority: 1,
             prefill_limit: start.prefill_limit,
-            tokens_elsewhere: start.shards.iter().map(|shard| shard.tokens).sum(),
+            remote_tokens: start.shards.iter().map(|shard| shard.tokens).sum(),
         });
     }
 
@@ -126,7 +126,7 @@
         let step = node.engine.step();
         node.is_stepping = true;
         let engine_life = node.engine_life;
-        let at = self.now + step.span;
+        let at = self.now + step.duration;
         self.at(at, Action::Step { agent, engine_life, events: step.events });
     }
 
--- a/standins/src/engine_model.rs
+++ b/standins/src/engine_model.rs
@@ -1,15 +1,14 @@
-//! A model engine without input or output, in virtual time.
+//! Model of an inference engine with continuous batching, without I/O and in virtual time.
 //!
-//! The engine works in steps. In each step every run that has its prompt
-//! done makes one token, and runs whose prompt is not done are prefilled,
-//! the one that was let in first before the others, up to a budget of tokens.
-//! A step takes
+//! The engine works in steps. In each step, every run whose prompt is prefilled
+//! decodes one token, and the other runs of the batch are prefilled in the order of
+//! their admission, up to a token budget. A step takes
 //!
 //! `step_base + step_per_run × decoding runs + prefilled tokens ÷ prefill_rate`
 //!
-//! so a long prompt slows every stream of its engine, and holds up the first
-//! token of whoever came after it. Runs that wait are let in by priority,
-//! then in the order they came, as memory allows.
+//! so a long prompt slows every stream of its engine and delays the first token of
+//! the runs queued behind it. Waiting runs are admitted by priority, then in order
+//! of arrival, as memory allows.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -19,31 +18,31 @@
 
 use crate::prompt::push_answer_token;
 
-/// Bytes of one block of the prefix cache.
+/// Size of a prefix cache block in bytes of prompt.
 const CACHE_BLOCK: usize = 4096;
 
 /// Speeds and sizes of an engine.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct EngineSpec {
-    /// Memory in tokens.
+    /// KV memory in tokens.
     pub capacity: u64,
-    /// Prefill in tokens a second.
+    /// Prefill rate in tokens per second.
     pub prefill_rate: f64,
-    /// Time of an empty step.
+    /// Duration of a step without prefill and decode.
     pub step_base: Duration,
     /// Time that each decoding run adds to a step.
     pub step_per_run: Duration,
-    /// Most tokens of prefill in a step.
+    /// Maximum number of tokens prefilled in a step.
     pub step_prefill: u64,
-    /// Most runs at a time.
+    /// Maximum number of runs in the batch.
     pub max_batch: usize,
-    /// Bytes of prompt that make a token.
+    /// Bytes of prompt per token.
     pub bytes_per_token: f64,
-    /// Entries of the prefix cache at most.
+    /// Maximum number of prefix cache entries.
     pub cache_entries: usize,
-    /// Divides all times.
+    /// Factor by which all durations are divided.
     pub time_scale: f64,
-    /// Whether orders with an old fence are refused.
+    /// Whether orders with a fence below the highest one received are refused.
     pub checks_fence: bool,
 }
 
@@ -64,62 +63,62 @@
     }
 }
 
-/// A run as it is given to the engine.
+/// Parameters of a run.
 #[derive(Clone, Debug)]
 pub struct EngineRunSpec {
-    /// Name.
+    /// Unique name of the run.
     pub id: String,
     /// Salt of the prefix cache.
     pub salt: String,
-    /// The prompt.
+    /// Text of the prompt.
     pub prompt: String,
-    /// Hash of the prompt, by which the answer is made.
+    /// Hash of the prompt, from which the answer is derived.
     pub hash: u64,
-    /// Tokens of the answer.
+    /// Length of the answer in tokens.
     pub answer_tokens: u64,
-    /// The lowest goes first.
+    /// Priority; runs with the lowest value are admitted first.
     pub priority: u8,
-    /// Tokens to prefill before the run pauses.
+    /// Number of tokens to prefill before the run pauses, or `None` for no pause.
     pub prefill_limit: Option<u64>,
-    /// Tokens of the prompt that further engines hold.
-    pub tokens_elsewhere: u64,
+    /// Tokens of the prompt whose KV entries other engines hold.
+    pub remote_tokens: u64,
 }
 
-/// What happens to a run.
+/// An event of a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EngineEvent {
-    /// A token of the answer.
+    /// One token of the answer.
     Text(String),
-    /// So many tokens are prefilled, and the run waits to be resumed.
+    /// The given number of tokens is prefilled, and the run waits to be resumed.
     Paused(u64),
-    /// The answer is whole.
+    /// The answer is complete.
     Done {
         /// Tokens of the prompt.
         prompt_tokens: u64,
-        /// Tokens of it that were cached.
+        /// Tokens of the prompt that were found in the prefix cache.
         cached_tokens: u64,
         /// Tokens of the answer.
         answer_tokens: u64,
     },
-    /// It can never run.
+    /// The run exceeds the memory of the engine and is dropped, for the given reason.
     Failed(String),
 }
 
-/// One step of an engine: how long it takes, and what it brings.
+/// Duration and events of one step of an engine.
 #[derive(Debug, Default)]
 pub struct EngineStep {
-    /// Time of the step.
-    pub span: Duration,
-    /// Events at its end, by run.
+    /// Time that the step takes.
+    pub duration: Duration,
+    /// Events at the end of the step, each with the name of its run.
     pub events: Vec<(String, EngineEvent)>,
 }
 
-/// A change of the prefix cache.
+/// An insertion into or eviction from the prefix cache.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CacheChange {
-    /// The run whose prompt the entry came from.
+    /// The run whose prompt is cached in the entry.
     pub run: String,
-    /// Tokens cached from now on, zero when evicted.
+    /// Number of cached tokens, zero after an eviction.
     pub tokens: u64,
 }
 
@@ -131,8 +130,8 @@
     prefilled: u64,
     limit: Option<u64>,
     paused: bool,
-    made: u64,
-    local: u64,
+    generated: u64,
+    local_tokens: u64,
 }
 
 impl ModelRun {
@@ -140,7 +139,7 @@
         self.prefilled >= self.prompt_tokens
     }
 
-    fn target(&self) -> u64 {
+    fn prefill_end(&self) -> u64 {
         self.limit.map_or(self.prompt_tokens, |limit| limit.min(self.prompt_tokens))
     }
 }
@@ -152,7 +151,7 @@
     tokens: u64,
 }
 
-/// The engine.
+/// An engine in virtual time, driven by calls of [`step`](EngineModel::step).
 #[derive(Debug)]
 pub struct EngineModel {
     spec: EngineSpec,
@@ -165,7 +164,7 @@
 }
 
 impl EngineModel {
-    /// Makes an idle engine.
+    /// Creates an idle engine.
     #[must_use]
     pub fn new(spec: EngineSpec) -> Self {
         EngineModel {
@@ -179,43 +178,45 @@
         }
     }
 
-    /// Speeds and sizes.
+    /// Returns the speeds and sizes of the engine.
     #[must_use]
     pub fn spec(&self) -> &EngineSpec {
         &self.spec
     }
 
-    /// Tokens held by runs and reservations; the cache gives way to both.
+    /// Returns the number of tokens held by runs and reservations.
+    ///
+    /// Cached prefixes are not counted, since they are evicted in favor of both.
     #[must_use]
     pub fn used(&self) -> u64 {
-        let runs: u64 = self.batch.iter().map(|run| run.local).sum();
+        let runs: u64 = self.batch.iter().map(|run| run.local_tokens).sum();
         runs + self.reservations.values().sum::<u64>()
     }
 
-    /// Names of all runs.
+    /// Returns the names of all runs, admitted and waiting.
     #[must_use]
     pub fn runs(&self) -> Vec<String> {
         let runs = self.batch.iter().chain(&self.waiting);
         runs.map(|run| run.spec.id.clone()).collect()
     }
 
-    /// Names of all reservations.
+    /// Returns the names of all reservations.
     #[must_use]
     pub fn reservations(&self) -> Vec<String> {
         self.reservations.keys().cloned().collect()
     }
 
-    /// How often a run with this name was started.
+    /// Returns how often a run with this name was started.
     #[must_use]
     pub fn times_started(&self, id: &str) -> u64 {
         self.started.get(id).copied().unwrap_or(0)
     }
 
-    /// Takes a run.
+    /// Queues a run for admission.
     pub fn start(&mut self, spec: EngineRunSpec) {
         *self.started.entry(spec.id.clone()).or_default() += 1;
         let prompt_tokens = (spec.prompt.len() as f64 / self.spec.bytes_per_token).ceil() as u64;
-        let local = (prompt_tokens + spec.answer_tokens).saturating_sub(spec.tokens_elsewhere);
+        let local_tokens = (prompt_tokens + spec.answer_tokens).saturating_sub(spec.remote_tokens);
         let limit = spec.prefill_limit;
         let run = ModelRun {
             prompt_tokens: prompt_tokens.max(1),
@@ -223,14 +224,14 @@
             prefilled: 0,
             limit,
             paused: false,
-            made: 0,
-            local,
+            generated: 0,
+            local_tokens,
             spec,
         };
         self.waiting.push_back(run);
     }
 
-    /// Lets a paused run go on up to a limit.
+    /// Resumes a paused run up to a new prefill limit. Returns `false` if the run is unknown.
     pub fn resume(&mut self, id: &str, limit: Option<u64>) -> bool {
         let Some(run) = self.batch.iter_mut().find(|run| run.spec.id == id) else {
             return false;
@@ -240,7 +241,7 @@
         true
     }
 
-    /// Ends a run and frees what it holds, false where there is none.
+    /// Cancels a run and frees its memory. Returns `false` if the run is unknown.
     pub fn cancel(&mut self, id: &str) -> bool {
         let before = self.batch.len() + self.waiting.len();
         self.batch.retain(|run| run.spec.id != id);
@@ -248,14 +249,16 @@
         before != self.batch.len() + self.waiting.len()
     }
 
-    /// Ends everything.
+    /// Cancels all runs and drops all reservations.
     pub fn cancel_all(&mut self) {
         self.batch.clear();
         self.waiting.clear();
         self.reservations.clear();
     }
 
-    /// Holds memory under a name, false where it is short.
+    /// Reserves memory under a name.
+    ///
+    /// Returns `false` if the memory does not suffice or the name is already in use.
     pub fn reserve(&mut self, id: &str, tokens: u64) -> bool {
         if self.reservations.contains_key(id) || self.used() + tokens > self.spec.capacity {
             return false;
@@ -264,23 +267,23 @@
         true
     }
 
-    /// Gives held memory back.
+    /// Releases a reservation. Returns `false` if it is unknown.
     pub fn unreserve(&mut self, id: &str) -> bool {
         self.reservations.remove(id).is_some()
     }
 
-    /// Returns true where a step would do something.
+    /// Returns `true` if a step would make progress.
     #[must_use]
     pub fn has_work(&self) -> bool {
         !self.waiting.is_empty() || self.batch.iter().any(|run| !run.paused)
     }
 
-    /// Takes the changes of the prefix cache since the last call.
+    /// Drains the changes of the prefix cache since the last call.
     pub fn take_changes(&mut self) -> Vec<CacheChange> {
         std::mem::take(&mut self.changes)
     }
 
-    /// Does one step.
+    /// Executes one step.
     pub fn step(&mut self) -> EngineStep {
         let mut step = EngineStep::default();
         self.admit(&mut step);
@@ -289,8 +292,8 @@
         self.decode(&mut step);
         self.retire(&mut step);
         let prefill = Duration::from_secs_f64(prefilled as f64 / self.spec.prefill_rate);
-        let span = self.spec.step_base + self.spec.step_per_run * decoding as u32 + prefill;
-        step.span = span.div_f64(self.spec.time_scale);
+        let duration = self.spec.step_base + self.spec.step_per_run * decoding as u32 + prefill;
+        step.duration = duration.div_f64(self.spec.time_scale);
         step
     }
 
@@ -300,22 +303,22 @@
             let Some(run) = self.waiting.front() else {
                 return;
             };
-            if run.local > self.spec.capacity {
+            if run.local_tokens > self.spec.capacity {
                 let id = run.spec.id.clone();
-                let reason = format!("{} tokens do not fit this engine", run.local);
+                let reason = format!("{} tokens do not fit this engine", run.local_tokens);
                 step.events.push((id, EngineEvent::Failed(reason)));
                 self.waiting.pop_front();
                 continue;
             }
-            let held = self.reservations.get(&run.spec.id).copied().unwrap_or(0);
-            if self.used() - held + run.local > self.spec.capacity {
+            let reserved = self.reservations.get(&run.spec.id).copied().unwrap_or(0);
+            if self.used() - reserved + run.local_tokens > self.spec.capacity {
                 return;
             }
             let Some(mut run) = self.waiting.pop_front() else {
                 return;
             };
             self.reservations.remove(&run.spec.id);
-            run.cached = self.find_cached(&run);
+            run.cached = self.find_cached_tokens(&run);
             run.prefilled = run.cached.min(run.prompt_tokens - 1);
             run.cached = run.prefilled;
             self.batch.push(run);
@@ -328,10 +331,10 @@
             if run.paused || run.is_decoding() || budget == 0 {
                 continue;
             }
-            let tokens = budget.min(run.target().saturating_sub(run.prefilled));
+            let tokens = budget.min(run.prefill_end().saturating_sub(run.prefilled));
             run.prefilled += tokens;
             budget -= tokens;
-            if run.prefilled >= run.target() && !run.is_decoding() {
+            if run.prefilled >= run.prefill_end() && !run.is_decoding() {
                 run.paused = true;
                 step.events.push((run.spec.id.clone(), EngineEvent::Paused(run.prefilled)));
             }
@@ -341,43 +344,44 @@
 
     fn decode(&mut self, step: &mut EngineStep) {
         for run in &mut self.batch {
-            if !run.is_decoding() || run.made >= run.spec.answer_tokens {
+            if !run.is_decoding() || run.generated >= run.spec.answer_tokens {
                 continue;
             }
             let mut text = String::new();
-            push_answer_token(&mut text, run.spec.hash, run.made);
-            run.made += 1;
+            push_answer_token(&mut text, run.spec.hash, run.generated);
+            run.generated += 1;
             step.events.push((run.spec.id.clone(), EngineEvent::Text(text)));
         }
     }
 
     fn retire(&mut self, step: &mut EngineStep) {
-        let is_over = |run: &ModelRun| run.is_decoding() && run.made >= run.spec.answer_tokens;
-        let (over, rest): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.batch).into_iter().partition(is_over);
+        let is_finished =
+            |run: &ModelRun| run.is_decoding() && run.generated >= run.spec.answer_tokens;
+        let (finished, rest): (Vec<_>, Vec<_>) =
+            std::mem::take(&mut self.batch).into_iter().partition(is_finished);
         self.batch = rest;
-        for run in over {
+        for run in finished {
             let done = EngineEvent::Done {
                 prompt_tokens: run.prompt_tokens,
                 cached_tokens: run.cached,
-                answer_tokens: run.made,
+                answer_tokens: run.generated,
             };
             step.events.push((run.spec.id.clone(), done));
-            self.keep_prefix(run);
+            self.cache_prefix(run);
         }
     }
 
-    fn find_cached(&mut self, run: &ModelRun) -> u64 {
-        let chain = to_chain(&run.spec.salt, &run.spec.prompt);
+    fn find_cached_tokens(&mut self, run: &ModelRun) -> u64 {
+        let chain = hash_blocks(&run.spec.salt, &run.spec.prompt);
         let common =
             |entry: &CacheEntry| entry.chain.iter().zip(&chain).take_while(|(a, b)| a == b).count();
-        let best = self.cache.iter().map(common).max().unwrap_or(0);
-        ((best * CACHE_BLOCK) as f64 / self.spec.bytes_per_token) as u64
+        let common_blocks = self.cache.iter().map(common).max().unwrap_or(0);
+        ((common_blocks * CACHE_BLOCK) as f64 / self.spec.bytes_per_token) as u64
     }
 
-    fn keep_prefix(&mut self, run: ModelRun) {
-        let chain = to_chain(&run.spec.salt, &run.spec.prompt);
-        if chain.is_empty() || run.spec.tokens_elsewhere > 0 {
+    fn cache_prefix(&mut self, run: ModelRun) {
+        let chain = hash_blocks(&run.spec.salt, &run.spec.prompt);
+        if chain.is_empty() || run.spec.remote_tokens > 0 {
             return;
         }
         let tokens = run.prompt_tokens;
@@ -387,20 +391,20 @@
     }
 
     fn evict(&mut self) {
-        let room = self.spec.capacity.saturating_sub(self.used());
-        let mut held: u64 = self.cache.iter().map(|entry| entry.tokens).sum();
-        while held > room || self.cache.len() > self.spec.cache_entries {
+        let free_tokens = self.spec.capacity.saturating_sub(self.used());
+        let mut cached: u64 = self.cache.iter().map(|entry| entry.tokens).sum();
+        while cached > free_tokens || self.cache.len() > self.spec.cache_entries {
             let Some(entry) = self.cache.pop_front() else {
                 return;
             };
-            held -= entry.tokens;
+            cached -= entry.tokens;
             self.changes.push(CacheChange { run: entry.run, tokens: 0 });
         }
     }
 }
 
-/// Hashes of a prompt's blocks, each chained to the one before.
-fn to_chain(salt: &str, prompt: &str) -> Vec<u64> {
+/// Hashes the blocks of a prompt, each seeded with the hash of the block before it.
+fn hash_blocks(salt: &str, prompt: &str) -> Vec<u64> {
     let mut chain = xxh3_64_with_seed(salt.as_bytes(), 0);
     let blocks = prompt.as_bytes().chunks_exact(CACHE_BLOCK);
     blocks
--- a/standins/src/engine_server.rs
+++ b/standins/src/engine_server.rs
@@ -1,4 +1,4 @@
-//! A model engine behind HTTP.
+//! HTTP server of an [`EngineModel`].
 
 use std::cell::RefCell;
 use std::collections::{HashMap, VecDeque};
@@ -25,40 +25,40 @@
 use crate::prompt::prompt_hash;
 use crate::serve::{Reply, ReplyBody, ServerThread, query_u64, reply, reply_json, serve_http};
 
-/// How old the load is that the engine reports.
-const LOAD_LAG: Duration = Duration::from_millis(400);
+/// Age at which the reported load is refreshed: reports start_lag behind by up to this time.
+const LOAD_REPORT_LAG: Duration = Duration::from_millis(400);
 
-/// How late events of the prefix cache come.
-const EVENT_LAG: Duration = Duration::from_millis(200);
+/// Delay before an event of the prefix cache is visible to pollers.
+const CACHE_EVENT_DELAY: Duration = Duration::from_millis(200);
 
-/// Share of the prefix cache's events that are lost.
-const LOST_EVENTS: f64 = 0.02;
+/// Fraction of the prefix cache's events that are lost.
+const EVENT_LOSS_RATE: f64 = 0.02;
 
-/// Events of the prefix cache that are kept.
-const KEPT_EVENTS: usize = 4096;
+/// Maximum number of prefix cache events that are stored.
+const MAX_STORED_EVENTS: usize = 4096;
 
-/// What a test does to an engine.
+/// Faults that a test injects into an engine.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EngineFault {
-    /// New calls are not answered.
+    /// Whether new calls stay unanswered.
     pub frozen: bool,
-    /// Time from a call that brings a run to when the engine has it.
+    /// Delay between the arrival of a start call and the start of its run.
     pub start_lag: Duration,
 }
 
-/// An engine, and what a test may do to it.
+/// An engine on a loopback port, with fault injection for tests.
 #[derive(Debug)]
 pub struct EngineServer {
-    /// The engine.
+    /// State of the engine.
     pub model: Arc<Mutex<EngineModel>>,
-    /// Faults in force.
+    /// Faults in effect.
     pub fault: Arc<Mutex<EngineFault>>,
-    /// Its thread.
+    /// Thread that runs the HTTP server.
     pub server: ServerThread,
     starts: Arc<StartCounts>,
 }
 
-/// Calls that brought a run, and runs that the engine has taken from them.
+/// Numbers of received start calls and of runs started by them.
 #[derive(Debug, Default)]
 struct StartCounts {
     arrived: AtomicU64,
@@ -81,8 +81,8 @@
 }
 
 impl EngineServer {
-    /// Starts an engine that has `models` loaded, on a port of its own or on
-    /// `address`.
+    /// Starts an engine with `models` loaded, on `address` or, if that is `None`, on a
+    /// port chosen by the system.
     #[must_use]
     pub fn start(
         spec: EngineSpec,
@@ -119,19 +119,19 @@
         EngineServer { model, fault, server, starts }
     }
 
-    /// Calls that brought a run.
+    /// Returns the number of start calls received.
     #[must_use]
     pub fn calls_arrived(&self) -> u64 {
         self.starts.arrived.load(Ordering::Relaxed)
     }
 
-    /// Runs that the engine has taken.
+    /// Returns the number of runs started.
     #[must_use]
     pub fn runs_started(&self) -> u64 {
         self.starts.started.load(Ordering::Relaxed)
     }
 
-    /// Tokens held by runs and reservations.
+    /// Returns the number of tokens held by runs and reservations.
     #[must_use]
     pub fn used(&self) -> u64 {
         lock(&self.model).used()
@@ -149,11 +149,11 @@
             continue;
         }
         let step = lock(&state.model).step();
-        tokio::time::sleep(step.span).await;
+        tokio::time::sleep(step.duration).await;
         for (id, event) in step.events {
             deliver(&state, &id, event);
         }
-        note_changes(&state);
+        record_cache_changes(&state);
     }
 }
 
@@ -176,7 +176,7 @@
     };
     let mut streams = state.streams.borrow_mut();
     if let Some(stream) = streams.get(id) {
-        // A reader that went away does not end the run: only a cancel does.
+        // A disconnected reader does not end the run; only a cancel does.
         let _ = stream.send(format!("data: {body}\n\n").into());
     }
     if is_last {
@@ -184,17 +184,17 @@
     }
 }
 
-fn note_changes(state: &ServerState) {
+fn record_cache_changes(state: &ServerState) {
     for change in lock(&state.model).take_changes() {
         *state.sequence.borrow_mut() += 1;
-        if state.rng.borrow_mut().random_bool(LOST_EVENTS) {
+        if state.rng.borrow_mut().random_bool(EVENT_LOSS_RATE) {
             continue;
         }
         let sequence = *state.sequence.borrow();
         let event = CacheEvent { sequence, run: change.run, tokens: change.tokens };
         let mut events = state.events.borrow_mut();
         events.push_back((Instant::now(), event));
-        if events.len() > KEPT_EVENTS {
+        if events.len() > MAX_STORED_EVENTS {
             events.pop_front();
         }
     }
@@ -207,15 +207,15 @@
     let path = request.uri().path().to_owned();
     let parts: Vec<&str> = path.trim_start_matches('/').split('/').collect();
     Some(match (request.method().clone(), parts.as_slice()) {
-        (Method::GET, ["v1", "load"]) => show_load(&state),
-        (Method::GET, ["v1", "cache", "events"]) => show_events(&state, &request),
-        (Method::GET, ["v1", "runs"]) => show_runs(&state),
+        (Method::GET, ["v1", "load"]) => reply_load(&state),
+        (Method::GET, ["v1", "cache", "events"]) => reply_events(&state, &request),
+        (Method::GET, ["v1", "runs"]) => reply_runs(&state),
         (Method::DELETE, ["v1", "runs"]) => cancel_all(&state),
         (Method::DELETE, ["v1", "runs", id]) => cancel(&state, id),
         (Method::POST, ["v1", "runs", id, "resume"]) => resume(&state, id, request).await,
         (Method::PUT, ["v1", "kv", id]) => reserve(&state, id, request).await,
-        (Method::DELETE, ["v1", "kv", id]) => to_status(lock(&state.model).unreserve(id)),
-        (Method::POST, ["v1", "orders"]) => take_order(&state, request).await,
+        (Method::DELETE, ["v1", "kv", id]) => reply_found(lock(&state.model).unreserve(id)),
+        (Method::POST, ["v1", "orders"]) => apply_order(&state, request).await,
         (Method::POST, ["v1", "completions"] | ["v1", "chat", "completions"]) => {
             start(&state, request).await
         }
@@ -223,15 +223,15 @@
     })
 }
 
-fn to_status(is_done: bool) -> Reply {
-    let status = if is_done { StatusCode::OK } else { StatusCode::NOT_FOUND };
+fn reply_found(is_found: bool) -> Reply {
+    let status = if is_found { StatusCode::OK } else { StatusCode::NOT_FOUND };
     reply(status, "")
 }
 
-fn show_load(state: &ServerState) -> Reply {
+fn reply_load(state: &ServerState) -> Reply {
     let model = lock(&state.model);
     let mut load = state.load.borrow_mut();
-    if load.0.elapsed() > LOAD_LAG {
+    if load.0.elapsed() > LOAD_REPORT_LAG {
         *load = (Instant::now(), model.used());
     }
     reply_json(&json!({
@@ -243,15 +243,16 @@
     }))
 }
 
-fn show_events(state: &ServerState, request: &Request<Incoming>) -> Reply {
+fn reply_events(state: &ServerState, request: &Request<Incoming>) -> Reply {
     let after = query_u64(request, "after").unwrap_or(0);
     let events = state.events.borrow();
-    let ripe =
-        events.iter().filter(|(at, event)| at.elapsed() > EVENT_LAG && event.sequence > after);
-    reply_json(&ripe.map(|(_, event)| event).collect::<Vec<_>>())
+    let visible = events
+        .iter()
+        .filter(|(at, event)| at.elapsed() > CACHE_EVENT_DELAY && event.sequence > after);
+    reply_json(&visible.map(|(_, event)| event).collect::<Vec<_>>())
 }
 
-fn show_runs(state: &ServerState) -> Reply {
+fn reply_runs(state: &ServerState) -> Reply {
     let model = lock(&state.model);
     reply_json(&json!({"runs": model.runs(), "reservations": model.reservations()}))
 }
@@ -264,7 +265,7 @@
 
 fn cancel(state: &ServerState, id: &str) -> Reply {
     state.streams.borrow_mut().remove(id);
-    to_status(lock(&state.model).cancel(id))
+    reply_found(lock(&state.model).cancel(id))
 }
 
 #[derive(Deserialize)]
@@ -273,7 +274,7 @@
 }
 
 async fn resume(state: &ServerState, id: &str, request: Request<Incoming>) -> Reply {
-    let Some(body) = read::<ResumeBody>(request).await else {
+    let Some(body) = read_body::<ResumeBody>(request).await else {
         return bad_body();
     };
     let is_known = lock(&state.model).resume(id, body.prefill_tokens);
@@ -288,7 +289,7 @@
 }
 
 async fn reserve(state: &ServerState, id: &str, request: Request<Incoming>) -> Reply {
-    let Some(body) = read::<ReserveBody>(request).await else {
+    let Some(body) = read_body::<ReserveBody>(request).await else {
         return bad_body();
     };
     let is_held = lock(&state.model).reserve(id, body.tokens);
@@ -301,8 +302,8 @@
     fence: u64,
 }
 
-async fn take_order(state: &ServerState, request: Request<Incoming>) -> Reply {
-    let Some(body) = read::<OrderBody>(request).await else {
+async fn apply_order(state: &ServerState, request: Request<Incoming>) -> Reply {
+    let Some(body) = read_body::<OrderBody>(request).await else {
         return bad_body();
     };
     let checks = lock(&state.model).spec().checks_fence;
@@ -318,7 +319,7 @@
     reply(StatusCode::BAD_REQUEST, "bad body")
 }
 
-async fn read<T: serde::de::DeserializeOwned>(request: Request<Incoming>) -> Option<T> {
+async fn read_body<T: serde::de::DeserializeOwned>(request: Request<Incoming>) -> Option<T> {
     let body = request.into_body().collect().await.ok()?.to_bytes();
     serde_json::from_slice(&body).ok()
 }
@@ -330,19 +331,19 @@
     let id = text("x-run-id").unwrap_or("unnamed").to_owned();
     let salt = text("x-cache-salt").unwrap_or("").to_owned();
     let shards = text("x-kv-shards").unwrap_or("");
-    let elsewhere =
+    let shard_tokens =
         shards.split(',').filter_map(|shard| shard.split_once('=')?.1.parse::<u64>().ok());
-    let tokens_elsewhere = elsewhere.sum();
-    let (limit, most) = (number("x-prefill-tokens"), number("x-max-tokens"));
+    let remote_tokens = shard_tokens.sum();
+    let (limit, max_tokens) = (number("x-prefill-tokens"), number("x-max-tokens"));
     let priority = number("x-priority").unwrap_or(1) as u8;
-    let Some(body) = read::<Value>(request).await else {
+    let Some(body) = read_body::<Value>(request).await else {
         return bad_body();
     };
     let prompt = to_prompt(&body);
-    let answer_tokens = most.or(body["max_tokens"].as_u64()).unwrap_or(16);
+    let answer_tokens = max_tokens.or(body["max_tokens"].as_u64()).unwrap_or(16);
     state.starts.arrived.fetch_add(1, Ordering::Relaxed);
-    let lag = lock(&state.fault).start_lag;
-    tokio::time::sleep(lag).await;
+    let start_lag = lock(&state.fault).start_lag;
+    tokio::time::sleep(start_lag).await;
     let (sender, receiver) = mpsc::unbounded_channel();
     state.streams.borrow_mut().insert(id.clone(), sender);
     lock(&state.model).start(EngineRunSpec {
@@ -353,14 +354,14 @@
         answer_tokens,
         priority,
         prefill_limit: limit,
-        tokens_elsewhere,
+        remote_tokens,
     });
     state.starts.started.fetch_add(1, Ordering::Relaxed);
     state.work.notify_one();
-    Response::new(to_body(receiver))
+    Response::new(stream_body(receiver))
 }
 
-/// The text of a prompt: what it holds, in order.
+/// Returns the prompt, or the contents of the chat messages joined in order.
 fn to_prompt(body: &Value) -> String {
     if let Some(prompt) = body["prompt"].as_str() {
         return prompt.to_owned();
@@ -369,7 +370,7 @@
     messages.iter().filter_map(|message| message["content"].as_str()).collect()
 }
 
-fn to_body(receiver: mpsc::UnboundedReceiver<Bytes>) -> ReplyBody {
+fn stream_body(receiver: mpsc::UnboundedReceiver<Bytes>) -> ReplyBody {
     let stream = futures_util::stream::unfold(receiver, |mut receiver| async move {
         let part = receiver.recv().await?;
         Some((part, receiver))
