--- a/standins/src/replay/engine.rs
+++ b/standins/src/replay/engine.rs
@@ -50,7 +50,7 @@
 }
 
 impl QueuedPrefill {
-    /// Returns the prefill time in seconds of the first `done` (0 to 1) of the tokens.
+    /// Returns the prefill time, in seconds, of the leading fraction `done` of the tokens.
     ///
     /// The time has a quadratic part, since each token attends to all tokens before it.
     fn seconds_for(&self, done: f64, rates: &EngineRates) -> f64 {
--- a/standins/tests/control.rs
+++ b/standins/tests/control.rs
@@ -1,44 +1,46 @@
-//! What grows with the entries of a fleet: calls to the platform's store, and the time until all
-//! of them have a change.
+//! Bounds the growth, with the number of entries, of the calls to the platform's store and of the
+//! time until all entries have a configuration change.
 
-use standins::control::{ControlFigures, ControlPlan, play};
+use standins::control::{ControlFigures, ControlPlan, simulate};
 
 const SEED: u64 = 20_261_203;
 
 fn figures(entries: usize) -> ControlFigures {
-    let figures = play(ControlPlan::of(entries, SEED));
+    let figures = simulate(ControlPlan::with_entries(entries, SEED));
     println!("seed {SEED}: {figures:?}");
     figures
 }
 
-/// Bound for changes of the configuration on the largest deployment, in milliseconds.
+/// Bound on the time until a configuration change is applied everywhere on the largest
+/// deployment, in milliseconds.
 const APPLY_MS: u64 = 5_000;
 
 #[test]
-fn twice_the_entries_make_about_as_many_calls_after_the_start() {
+fn calls_after_the_start_grow_less_than_the_entries() {
     let (once, twice) = (figures(120), figures(240));
-    let grown = twice.later_calls() as f64 / once.later_calls() as f64;
-    assert!(grown < 1.5, "{grown} times the calls");
-    // Alone, each entry had a call for each change of the configuration, and more.
-    assert!(twice.later_calls() < 2 * 240, "{} calls", twice.later_calls());
+    let growth = twice.later_calls() as f64 / once.later_calls() as f64;
+    assert!(growth < 1.5, "calls grew by a factor of {growth}");
+    // Without sharing, each entry makes at least one call for each configuration change.
+    assert!(twice.later_calls() < 2 * 240, "{} calls after the start", twice.later_calls());
 }
 
-/// Past failure, of the model at 2,400 entries: each entry had news told by a fixed number of
-/// agents, whatever part of the entries an agent reaches, so that ever more missed them.
+/// Guards against a failure of the model at 2,400 entries: updates were relayed by a fixed number
+/// of agents regardless of the fraction of entries that an agent reaches, so that the larger the
+/// fleet, the more entries missed them.
 #[test]
-fn news_reach_all_where_an_agent_reaches_few_of_them() {
-    let plan = ControlPlan { engines: 1_800, ..ControlPlan::of(100, SEED) };
-    let figures = play(plan);
+fn updates_reach_all_entries_if_each_agent_reaches_few() {
+    let plan = ControlPlan { engines: 1_800, ..ControlPlan::with_entries(100, SEED) };
+    let figures = simulate(plan);
     println!("seed {SEED}: {figures:?}");
     let missed = figures.catch_ups + figures.config_reads;
-    assert!(missed <= 100, "{missed} calls for news that were missed by 100 entries");
+    assert!(missed <= 100, "{missed} calls of 100 entries for missed updates");
 }
 
 #[test]
-fn starts_take_a_few_calls_of_each_entry_at_any_size() {
+fn start_calls_per_entry_are_bounded_at_any_size() {
     for entries in [60, 120, 240] {
-        let each = figures(entries).start_calls as f64 / entries as f64;
-        assert!(each < 8.0, "{each} calls of each of {entries} entries");
+        let per_entry = figures(entries).start_calls as f64 / entries as f64;
+        assert!(per_entry < 8.0, "{per_entry} start calls per entry with {entries} entries");
     }
 }
 
@@ -46,6 +48,9 @@
 fn every_entry_has_a_change_within_half_of_the_bound() {
     for entries in [60, 120, 240] {
         let last = figures(entries).last_ms;
-        assert!(last <= APPLY_MS / 2, "{last} ms until the last of {entries} entries");
+        assert!(
+            last <= APPLY_MS / 2,
+            "{last} ms until all {entries} entries have the change"
+        );
     }
 }
