--- a/standins/src/chaos/arrivals.rs
+++ b/standins/src/chaos/arrivals.rs
@@ -1,4 +1,4 @@
-//! Callers that come to entries and leave them.
+//! Arrival and disconnection of callers.
 
 use std::rc::Rc;
 
@@ -9,7 +9,7 @@
 use shalelane::wire::Call;
 
 use super::callers::CallerRequest;
-use super::world::{Action, AgentNode, GONE_BOUND, World, entry_process};
+use super::world::{Action, AgentNode, CANCEL_BOUND, World, entry_process};
 
 impl World {
     pub(super) fn on_arrive(&mut self, index: usize) {
@@ -18,40 +18,40 @@
         if node.core.is_none() || node.paused_until > self.now {
             return;
         }
-        node.numbers += 1;
-        let number = node.numbers;
-        let life = node.life;
-        let Some(policy) = self.accounts.find(request.secret) else { return };
+        node.last_number += 1;
+        let number = node.last_number;
+        let incarnation = node.incarnation;
+        let Some(policy) = self.accounts.find(request.key) else { return };
         let limit = policy.time_limit(request.prompt.len() as u64 / 4).unwrap_or_default();
-        let owner = entry_process(request.entry, life);
-        self.callers.name(index, RequestId { owner, number }, self.now + limit);
+        let owner = entry_process(request.entry, incarnation);
+        self.callers.record_id(index, RequestId { owner, number }, self.now + limit);
         let arrival = to_arrival(number, &request, policy);
-        self.feed_entry(request.entry, entry::Event::Arrive(Box::new(arrival)));
+        self.on_entry_event(request.entry, entry::Event::Arrive(Box::new(arrival)));
     }
 
     pub(super) fn on_caller_gone(&mut self, index: usize) {
         let view = &mut self.callers.views[index];
         let Some(id) = view.id.clone() else { return };
-        if view.is_gone || view.end.is_some() {
+        if view.is_closed || view.result.is_some() {
             return;
         }
-        view.is_gone = true;
+        view.is_closed = true;
         let entry = self.callers.requests[index].entry;
-        let life = self.entries[entry].life;
-        if self.is_calm {
-            self.at(self.now + GONE_BOUND, Action::CheckGone(id.clone()));
+        let incarnation = self.entries[entry].incarnation;
+        if self.is_fault_free {
+            self.schedule_at(self.now + CANCEL_BOUND, Action::CheckCancelled(id.clone()));
         }
         let event = Box::new(entry::Event::CallerGone(id.number));
-        self.at(self.now, Action::Entry { entry, life, event });
+        self.schedule_at(self.now, Action::Entry { entry, incarnation, event });
     }
 
-    /// Nothing of a request may be left at an engine once its caller is gone.
-    pub(super) fn check_gone(&mut self, id: &RequestId) {
+    /// Checks that no engine still runs a request whose caller has disconnected.
+    pub(super) fn check_cancelled(&mut self, id: &RequestId) {
         let prefix = format!("{id}-");
         let is_left =
             |node: &AgentNode| node.engine.runs().iter().any(|name| name.starts_with(&prefix));
         if self.agents.iter().any(is_left) {
-            self.broken.push(format!("request {id} still runs, and its caller is gone"));
+            self.violations.push(format!("request {id} still runs after its caller disconnected"));
         }
     }
 }
--- a/standins/src/chaos/callers.rs
+++ b/standins/src/chaos/callers.rs
@@ -1,4 +1,4 @@
-//! Callers of a randomised run, and what they check.
+//! Callers of a randomised run and their checks of answers.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,42 +12,42 @@
 use super::plan::{BUSY_MS, REQUESTS};
 use crate::prompt::{make_prompt, prompt_hash, whole_answer};
 
-/// How late a final answer may be.
-const LATE: Duration = Duration::from_millis(20);
+/// Tolerance for final answers after their deadline.
+const DEADLINE_TOLERANCE: Duration = Duration::from_millis(20);
 
-/// A caller's request.
+/// A request of a caller.
 #[derive(Clone, Debug)]
 pub struct CallerRequest {
-    /// When it is made.
+    /// Time of arrival.
     pub at: Tick,
-    /// Secret of its account.
-    pub secret: &'static str,
-    /// The prompt, empty for an order to the plain service.
+    /// Key of the client account.
+    pub key: &'static str,
+    /// Prompt, empty for an order to the plain service.
     pub prompt: String,
-    /// Tokens of the answer.
+    /// Length of the answer in tokens.
     pub answer: u64,
-    /// Whether it may run again.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// When the caller goes away, if it does.
-    pub gone: Option<Tick>,
-    /// The entry that it goes to.
+    /// Time at which the caller disconnects, or `None` if it stays.
+    pub leaves_at: Option<Tick>,
+    /// Index of the entry that receives the request.
     pub entry: usize,
 }
 
 impl CallerRequest {
-    /// Returns true for an order to the plain service.
+    /// Returns `true` for an order to the plain service.
     #[must_use]
     pub fn is_order(&self) -> bool {
         self.prompt.is_empty()
     }
 }
 
-/// Makes the requests of a run.
-pub fn plan_requests(rng: &mut StdRng, entries: usize) -> Vec<CallerRequest> {
-    (0..REQUESTS).map(|_| plan_request(rng, entries)).collect()
+/// Generates the requests of a run.
+pub fn generate_requests(rng: &mut StdRng, entries: usize) -> Vec<CallerRequest> {
+    (0..REQUESTS).map(|_| generate_request(rng, entries)).collect()
 }
 
-fn plan_request(rng: &mut StdRng, entries: usize) -> CallerRequest {
+fn generate_request(rng: &mut StdRng, entries: usize) -> CallerRequest {
     let at = Tick(rng.random_range(0..BUSY_MS * 1_000));
     let is_order = rng.random_bool(0.2);
     let kind: f64 = rng.random();
@@ -58,85 +58,86 @@
     };
     let family = rng.random_range(0..3);
     let prompt = make_prompt(tokens, family, 40, rng.random());
-    let is_endless = rng.random_bool(0.05);
-    let gone =
+    let is_abandoned = rng.random_bool(0.05);
+    let leaves_at =
         rng.random_bool(0.08).then(|| at + Duration::from_millis(rng.random_range(1..3_000)));
     CallerRequest {
         at,
-        secret: if tokens > 3_000 { "long" } else { "short" },
+        key: if tokens > 3_000 { "long" } else { "short" },
         prompt: if is_order { String::new() } else { prompt },
-        // A caller that leaves in the middle of a long answer.
-        answer: if is_endless && tokens < 400 { 2_000 } else { rng.random_range(1..30) },
+        // This caller disconnects in the middle of a long answer.
+        answer: if is_abandoned && tokens < 400 { 2_000 } else { rng.random_range(1..30) },
         repeatable: !is_order && rng.random_bool(0.7),
-        gone: if is_endless { Some(at + Duration::from_millis(400)) } else { gone },
+        leaves_at: if is_abandoned { Some(at + Duration::from_millis(400)) } else { leaves_at },
         entry: rng.random_range(0..entries),
     }
 }
 
-/// What a caller has seen.
+/// State of a request as seen by its caller.
 #[derive(Clone, Debug, Default)]
 pub struct CallerView {
-    /// Name of the request at its entry.
+    /// Id that the entry gave the request.
     pub id: Option<RequestId>,
-    /// The answer so far.
+    /// Text received so far.
     pub text: String,
-    /// The final answer: none yet, whole, or a failure's verdict.
-    pub end: Option<Result<(), Verdict>>,
-    /// The time by which the final answer is due.
-    pub due: Option<Tick>,
-    /// The entry died, or the caller went away: nothing more comes.
-    pub is_gone: bool,
+    /// Final result: `None` before the final answer, `Ok` if it is complete, or the verdict of the
+    /// failure.
+    pub result: Option<Result<(), Verdict>>,
+    /// Deadline of the final answer.
+    pub deadline: Option<Tick>,
+    /// Whether the entry crashed or the caller disconnected, so that no further reply arrives.
+    pub is_closed: bool,
 }
 
 /// All callers of a run.
 #[derive(Debug)]
-pub struct CallerBook {
-    /// The requests.
+pub struct CallerTable {
+    /// Requests of the run.
     pub requests: Vec<CallerRequest>,
-    /// What came of each.
+    /// State of each request, by index.
     pub views: Vec<CallerView>,
-    numbers: BTreeMap<(usize, u64), usize>,
-    /// Promises found broken.
-    pub broken: Vec<String>,
+    indexes: BTreeMap<(usize, u64), usize>,
+    /// Descriptions of violated guarantees.
+    pub violations: Vec<String>,
 }
 
-impl CallerBook {
-    /// Callers that have made nothing yet.
+impl CallerTable {
+    /// Creates the callers of requests that have not arrived yet.
     #[must_use]
     pub fn new(requests: Vec<CallerRequest>) -> Self {
         let views = vec![CallerView::default(); requests.len()];
-        CallerBook { requests, views, numbers: BTreeMap::new(), broken: Vec::new() }
+        CallerTable { requests, views, indexes: BTreeMap::new(), violations: Vec::new() }
     }
 
-    /// Notes the name that an entry gave a request.
-    pub fn name(&mut self, index: usize, id: RequestId, due: Tick) {
-        self.numbers.insert((self.requests[index].entry, id.number), index);
+    /// Records the id that an entry gave a request.
+    pub fn record_id(&mut self, index: usize, id: RequestId, deadline: Tick) {
+        self.indexes.insert((self.requests[index].entry, id.number), index);
         self.views[index].id = Some(id);
-        self.views[index].due = Some(due);
+        self.views[index].deadline = Some(deadline);
     }
 
-    /// Takes a reply of an entry.
+    /// Processes a reply of an entry.
     pub fn on_reply(&mut self, entry: usize, number: u64, reply: Reply, now: Tick) {
-        let Some(index) = self.numbers.get(&(entry, number)).copied() else {
-            self.broken.push(format!("entry {entry} answered unknown request {number}"));
+        let Some(index) = self.indexes.get(&(entry, number)).copied() else {
+            self.violations.push(format!("entry {entry} answered unknown request {number}"));
             return;
         };
         let view = &mut self.views[index];
-        if view.is_gone {
+        if view.is_closed {
             return;
         }
-        if view.end.is_some() {
-            self.broken.push(format!("request {index} was answered after its final answer"));
+        if view.result.is_some() {
+            self.violations.push(format!("request {index} got a reply after its final answer"));
             return;
         }
         match reply {
             Reply::Head(..) => {}
             Reply::Text(part) => view.text.push_str(&String::from_utf8_lossy(&part)),
             Reply::Done(_) => {
-                view.end = Some(Ok(()));
+                view.result = Some(Ok(()));
                 self.check_text(index);
             }
-            Reply::Failed(failure) => view.end = Some(Err(failure.verdict)),
+            Reply::Failed(failure) => view.result = Some(Err(failure.verdict)),
         }
         self.check_time(index, now);
     }
@@ -148,52 +149,56 @@
         }
         let expected = whole_answer(prompt_hash(&request.prompt), request.answer);
         if self.views[index].text != expected {
-            self.broken.push(format!("request {index} got an answer that is not its own"));
+            self.violations.push(format!("request {index} got a wrong answer"));
         }
     }
 
     fn check_time(&mut self, index: usize, now: Tick) {
-        let due = self.views[index].due.unwrap_or(Tick::NEVER);
-        if now > due + LATE {
-            self.broken.push(format!("request {index} was answered after its time limit"));
+        let deadline = self.views[index].deadline.unwrap_or(Tick::NEVER);
+        if now > deadline + DEADLINE_TOLERANCE {
+            self.violations.push(format!("request {index} got a reply after its time limit"));
         }
     }
 
-    /// An entry died: its callers hear no more.
-    pub fn on_entry_death(&mut self, entry: usize) {
+    /// Closes the requests of an entry that crashed.
+    pub fn on_entry_crash(&mut self, entry: usize) {
         for (request, view) in self.requests.iter().zip(&mut self.views) {
             if request.entry == entry && view.id.is_some() {
-                view.is_gone = true;
+                view.is_closed = true;
             }
         }
     }
 
-    /// An entry stood still: what is due at it is due later.
-    pub fn on_entry_pause(&mut self, entry: usize, span: Duration) {
+    /// Extends the deadlines of the requests of a paused entry by the length of the pause.
+    pub fn on_entry_pause(&mut self, entry: usize, pause: Duration) {
         for (request, view) in self.requests.iter().zip(&mut self.views) {
             if request.entry == entry {
-                view.due = view.due.map(|due| due + span);
+                view.deadline = view.deadline.map(|deadline| deadline + pause);
             }
         }
     }
 
-    /// Checks the end of everything, given how often each request ran.
+    /// Checks all requests at the end of a run.
+    ///
+    /// `runs` returns how often a request ran.
     pub fn check_end(&mut self, runs: impl Fn(&RequestId) -> u64) {
         for (index, request) in self.requests.iter().enumerate() {
             let view = &self.views[index];
             let Some(id) = &view.id else { continue };
-            if view.end.is_none() && !view.is_gone {
-                self.broken.push(format!("request {index} never got a final answer"));
+            if view.result.is_none() && !view.is_closed {
+                self.violations.push(format!("request {index} never got a final answer"));
             }
             let runs = runs(id);
             if runs > 1 && !request.repeatable {
-                self.broken.push(format!("request {index} ran {runs} times"));
+                self.violations
+                    .push(format!("request {index} is not repeatable and ran {runs} times"));
             }
-            if runs > 0 && view.end == Some(Err(Verdict::NotRun)) {
-                self.broken.push(format!("request {index} was said not to have run, and ran"));
+            if runs > 0 && view.result == Some(Err(Verdict::NotRun)) {
+                self.violations
+                    .push(format!("request {index} ran, but its verdict says that it did not"));
             }
-            if runs == 0 && view.end == Some(Ok(())) {
-                self.broken.push(format!("request {index} was answered, and never ran"));
+            if runs == 0 && view.result == Some(Ok(())) {
+                self.violations.push(format!("request {index} was answered, but never ran"));
             }
         }
     }
--- a/standins/src/chaos/entries.rs
+++ b/standins/src/chaos/entries.rs
@@ -1,4 +1,4 @@
-//! The real cores of entries, and what becomes of their effects.
+//! Runs the cores of entries and applies their effects.
 
 use std::sync::Arc;
 
@@ -8,42 +8,44 @@
 use shalelane::hosts::{HostDelta, HostRecord, HostRole, HostState};
 
 use super::plan::ENGINES;
-use super::world::{Action, PLAIN, World, agent_name, chaos_config, entry_process, entry_tuning};
+use super::world::{
+    Action, PLAIN_AGENT, World, agent_name, chaos_config, entry_process, entry_tuning,
+};
 
 impl World {
     pub(super) fn start_entry(&mut self, entry: usize) {
         let node = &mut self.entries[entry];
-        let process = entry_process(entry, node.life);
+        let process = entry_process(entry, node.incarnation);
         let seed = self.rng.random();
         node.core = Some(EntryCore::new(process, "domain-0".into(), entry_tuning(), seed));
         node.version = ConfigVersion(5);
-        self.feed_entry(entry, entry::Event::Config(Arc::new(chaos_config(5))));
+        self.on_entry_event(entry, entry::Event::Config(Arc::new(chaos_config(5))));
         let hosts = (0..=ENGINES).map(|agent| HostRecord {
             name: agent_name(agent),
             role: HostRole::Target {
-                service: if agent == PLAIN { "plain" } else { "engines" }.into(),
+                service: if agent == PLAIN_AGENT { "plain" } else { "engines" }.into(),
             },
             address: "".into(),
             failure_domain: format!("domain-{}", agent % 2).into(),
             state: HostState::Live,
         });
         let delta = HostDelta { revision: 1, hosts: hosts.collect() };
-        self.feed_entry(entry, entry::Event::Hosts(delta));
+        self.on_entry_event(entry, entry::Event::Hosts(delta));
     }
 
-    pub(super) fn feed_entry(&mut self, entry: usize, event: entry::Event) {
+    pub(super) fn on_entry_event(&mut self, entry: usize, event: entry::Event) {
         let now = self.now;
         let Some(core) = &mut self.entries[entry].core else { return };
         let effects = core.on_event(now, event);
         let wake = core.next_wake();
         self.check_version(entry);
         for effect in effects {
-            self.apply_entry(entry, effect);
+            self.apply_entry_effect(entry, effect);
         }
         if let Some(wake) = wake {
-            let life = self.entries[entry].life;
+            let incarnation = self.entries[entry].incarnation;
             let event = Box::new(entry::Event::Wake);
-            self.at(wake.max(now), Action::Entry { entry, life, event });
+            self.schedule_at(wake.max(now), Action::Entry { entry, incarnation, event });
         }
     }
 
@@ -52,22 +54,22 @@
         let found = node.core.as_ref().and_then(|core| core.config());
         let version = found.map_or(ConfigVersion(0), |config| config.version);
         if version < node.version {
-            self.broken.push(format!("entry {entry} went back to configuration {version}"));
+            self.violations.push(format!("entry {entry} reverted to configuration {version}"));
         }
         node.version = version;
     }
 
-    pub(super) fn apply_entry(&mut self, entry: usize, effect: entry::Effect) {
+    pub(super) fn apply_entry_effect(&mut self, entry: usize, effect: entry::Effect) {
         match effect {
             entry::Effect::Reply(number, reply) => {
                 if !matches!(reply, entry::Reply::Text(_)) {
-                    self.note(&format!("entry {entry} answers {number}: {reply:?}"));
+                    self.log_line(&format!("entry {entry} answers {number}: {reply:?}"));
                 }
                 self.callers.on_reply(entry, number, reply, self.now);
             }
-            entry::Effect::Send(target, message) => self.send_over(entry, &target, message),
+            entry::Effect::Send(target, message) => self.send_to_agent(entry, &target, message),
             entry::Effect::Record { number, kind, detail } => {
-                self.note(&format!("entry {entry} request {number} {kind}: {detail}"));
+                self.log_line(&format!("entry {entry} request {number} {kind}: {detail}"));
             }
             entry::Effect::PullConfig | entry::Effect::Stopped => {}
         }
--- a/standins/src/chaos/mod.rs
+++ b/standins/src/chaos/mod.rs
@@ -1,7 +1,7 @@
-//! Randomised runs: the real cores in virtual time, under faults.
+//! Randomised runs of the product's entry and agent cores under faults, in virtual time.
 //!
-//! A run is made from its seed alone. The cores check their invariants in
-//! every turn; the callers check every answer; at the end nothing may be held.
+//! A run is fully determined by its seed. The cores check their invariants on every event, the
+//! callers check every answer, and at the end no engine or agent may hold memory.
 
 mod agents;
 mod arrivals;
@@ -23,13 +23,13 @@
 pub use self::world::ChaosOutcome;
 use self::world::{SharedLog, World};
 
-/// Makes one run.
+/// Executes one run.
 #[must_use]
 pub fn run_plan(plan: &ChaosPlan) -> ChaosOutcome {
     run_mutant(plan, None)
 }
 
-/// Makes one run with a fault in the cores.
+/// Executes one run with an optional seeded fault (mutant) in the cores.
 #[must_use]
 pub fn run_mutant(plan: &ChaosPlan, mutant: Option<Mutant>) -> ChaosOutcome {
     let log = SharedLog::default();
@@ -40,26 +40,28 @@
     let mut outcome = result.unwrap_or_else(|panic| {
         let text = panic.downcast_ref::<String>().cloned();
         let text = text.or_else(|| panic.downcast_ref::<&str>().map(|text| (*text).to_owned()));
-        let broken = vec![text.unwrap_or_else(|| "a core stopped".to_owned())];
+        let broken = vec![text.unwrap_or_else(|| "a core panicked".to_owned())];
         ChaosOutcome { broken, ..ChaosOutcome::default() }
     });
     outcome.log = log.take().into();
     outcome
 }
 
-/// What came of the runs of many seeds.
+/// Results of the runs of a range of seeds.
 #[derive(Clone, Debug, Default)]
 pub struct SeedsOutcome {
-    /// Requests that were answered whole.
+    /// Number of requests with a complete answer.
     pub finished: usize,
-    /// Requests that failed.
+    /// Number of failed requests.
     pub failed: usize,
-    /// The lowest seed found that broke a promise.
+    /// Lowest seed found whose run violated a guarantee, with its outcome.
     pub broken: Option<(u64, ChaosOutcome)>,
 }
 
-/// Makes the runs of many seeds, on all processors, with a fault in the cores
-/// or none. Stops soon after the first broken promise.
+/// Executes the runs of the seeds from `first` up to, but not including, `end` on all processors.
+///
+/// The runs have an optional seeded fault (mutant) in the cores. Stops soon after the first
+/// violation of a guarantee.
 #[must_use]
 pub fn run_seeds(first: u64, end: u64, mutant: Option<Mutant>) -> SeedsOutcome {
     let next = AtomicU64::new(first);
@@ -67,13 +69,13 @@
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
     std::thread::scope(|scope| {
         for _ in 0..threads {
-            scope.spawn(|| run_some(&next, end, mutant, &sum));
+            scope.spawn(|| run_next_seeds(&next, end, mutant, &sum));
         }
     });
     sum.into_inner().unwrap_or_default()
 }
 
-fn run_some(next: &AtomicU64, end: u64, mutant: Option<Mutant>, sum: &Mutex<SeedsOutcome>) {
+fn run_next_seeds(next: &AtomicU64, end: u64, mutant: Option<Mutant>, sum: &Mutex<SeedsOutcome>) {
     loop {
         let seed = next.fetch_add(1, Ordering::Relaxed);
         if seed >= end {
--- a/standins/src/chaos/plan.rs
+++ b/standins/src/chaos/plan.rs
@@ -1,84 +1,84 @@
-//! What goes wrong in a run, and when.
+//! Plan of the faults of a run.
 
 use quickcheck::{Arbitrary, Gen};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-/// Virtual milliseconds in which requests arrive and faults begin.
+/// Virtual time, in milliseconds, in which requests arrive and faults begin.
 pub const BUSY_MS: u64 = 20_000;
 
-/// Engines of a run; one more agent stands beside a plain service.
+/// Number of engines, each with an agent; one more agent serves a plain service.
 pub const ENGINES: usize = 4;
 
-/// Entries of a run.
+/// Number of entries.
 pub const ENTRIES: usize = 2;
 
-/// Requests of a run.
+/// Number of requests.
 pub const REQUESTS: usize = 60;
 
-/// What a fault does.
+/// Kinds of faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultKind {
     /// The link between an entry and an agent is cut.
-    Cut {
+    LinkCut {
         /// The entry.
         entry: usize,
         /// The agent.
         agent: usize,
     },
-    /// Messages on a link vanish until one side finds out.
+    /// Messages on a link are lost without notice until a side detects it.
     HalfOpen {
         /// The entry.
         entry: usize,
         /// The agent.
         agent: usize,
     },
-    /// An agent dies and comes back.
-    AgentDeath {
+    /// An agent crashes and restarts.
+    AgentCrash {
         /// The agent.
         agent: usize,
-        /// Time until it is back, in milliseconds.
+        /// Time until the restart, in milliseconds.
         down_ms: u64,
     },
-    /// An entry dies and comes back.
-    EntryDeath {
+    /// An entry crashes and restarts.
+    EntryCrash {
         /// The entry.
         entry: usize,
-        /// Time until it is back, in milliseconds.
+        /// Time until the restart, in milliseconds.
         down_ms: u64,
     },
-    /// An engine dies and comes back, empty.
-    EngineDeath {
+    /// An engine crashes and restarts without runs, reservations and cache.
+    EngineCrash {
         /// The engine.
         agent: usize,
-        /// Time until it is back, in milliseconds.
+        /// Time until the restart, in milliseconds.
         down_ms: u64,
     },
-    /// An agent stands still, unaware.
+    /// An agent process is suspended.
     AgentPause {
         /// The agent.
         agent: usize,
-        /// For so long, in milliseconds.
-        span_ms: u64,
+        /// Length of the pause, in milliseconds.
+        pause_ms: u64,
     },
-    /// An entry stands still, unaware.
+    /// An entry process is suspended.
     EntryPause {
         /// The entry.
         entry: usize,
-        /// For so long, in milliseconds.
-        span_ms: u64,
+        /// Length of the pause, in milliseconds.
+        pause_ms: u64,
     },
-    /// An agent stops as planned, and another life of it comes back.
+    /// An agent drains and stops, and its next incarnation starts.
     Drain {
         /// The agent.
         agent: usize,
     },
     /// All links of a failure domain are cut at once.
     DomainCut {
-        /// The domain: every second agent.
+        /// The domain, which holds every second agent.
         domain: usize,
     },
-    /// An entry is told of an older configuration.
+    /// An entry receives an outdated configuration.
     StaleConfig {
         /// The entry.
         entry: usize,
@@ -90,11 +90,11 @@
 pub struct PlannedFault {
     /// Virtual milliseconds since the start.
     pub at_ms: u64,
-    /// What it does.
+    /// Kind of the fault.
     pub kind: FaultKind,
 }
 
-/// All faults of a run, and the seed of everything else.
+/// All faults of a run, and the seed of its other random choices.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChaosPlan {
     /// Seed of arrivals and delays.
@@ -104,7 +104,7 @@
 }
 
 impl ChaosPlan {
-    /// A plan of up to a dozen faults.
+    /// Generates a plan of up to 12 faults.
     #[must_use]
     pub fn from_seed(seed: u64) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
@@ -121,15 +121,15 @@
         let agent = rng.random_range(0..=ENGINES);
         let engine = rng.random_range(0..ENGINES);
         let down_ms = rng.random_range(50..4_000);
-        let span_ms = rng.random_range(50..15_000);
+        let pause_ms = rng.random_range(50..15_000);
         let kind = match rng.random_range(0..10) {
-            0 => FaultKind::Cut { entry, agent },
+            0 => FaultKind::LinkCut { entry, agent },
             1 => FaultKind::HalfOpen { entry, agent },
-            2 => FaultKind::AgentDeath { agent, down_ms },
-            3 => FaultKind::EntryDeath { entry, down_ms },
-            4 => FaultKind::EngineDeath { agent: engine, down_ms },
-            5 => FaultKind::AgentPause { agent, span_ms },
-            6 => FaultKind::EntryPause { entry, span_ms },
+            2 => FaultKind::AgentCrash { agent, down_ms },
+            3 => FaultKind::EntryCrash { entry, down_ms },
+            4 => FaultKind::EngineCrash { agent: engine, down_ms },
+            5 => FaultKind::AgentPause { agent, pause_ms },
+            6 => FaultKind::EntryPause { entry, pause_ms },
             7 => FaultKind::Drain { agent },
             8 => FaultKind::DomainCut { domain: agent % 2 },
             _ => FaultKind::StaleConfig { entry },
@@ -143,12 +143,13 @@
         ChaosPlan::from_seed(u64::arbitrary(g))
     }
 
-    /// A failing plan shrinks to the faults that it needs.
+    /// Yields all plans with one fault fewer, so that a failing plan shrinks to the faults that it
+    /// needs.
     fn shrink(&self) -> Box<dyn Iterator<Item = Self>> {
         let plan = self.clone();
-        let without = move |left_out: usize| {
+        let without = move |omitted: usize| {
             let mut faults = plan.faults.clone();
-            faults.remove(left_out);
+            faults.remove(omitted);
             ChaosPlan { seed: plan.seed, faults }
         };
         Box::new((0..self.faults.len()).map(without))
--- a/standins/src/chaos/targets.rs
+++ b/standins/src/chaos/targets.rs
@@ -1,4 +1,4 @@
-//! Engines and the plain service, behind calls that take time.
+//! Engines and the plain service, called with simulated latency.
 
 use std::time::Duration;
 
@@ -6,24 +6,27 @@
 use shalelane::agent::{self, EngineFacts, EngineHolding, RunEvent, RunUsage, StartRun};
 use shalelane::{AttemptId, Verdict};
 
-use super::world::{Action, EngineCall, LOOK, LOST, PLAIN, World, agent_name, engine_spec};
+use super::world::{
+    Action, CRASH_DETECTION_DELAY, ENGINE_POLL_INTERVAL, EngineCall, PLAIN_AGENT, World,
+    agent_name, engine_spec,
+};
 use crate::engine_model::{EngineEvent, EngineModel, EngineRunSpec};
 use crate::prompt::prompt_hash;
 
 impl World {
-    pub(super) fn on_engine_call(&mut self, agent: usize, life: u64, call: EngineCall) {
-        if agent == PLAIN {
-            self.on_plain_call(life, call);
+    pub(super) fn on_engine_call(&mut self, agent: usize, incarnation: u64, call: EngineCall) {
+        if agent == PLAIN_AGENT {
+            self.on_plain_call(incarnation, call);
             return;
         }
-        if self.agents[agent].engine_down > self.now {
-            self.on_dead_engine_call(agent, life, call);
+        if self.agents[agent].engine_down_until > self.now {
+            self.on_crashed_engine_call(agent, incarnation, call);
             return;
         }
         let engine = &mut self.agents[agent].engine;
         match call {
             EngineCall::Reset => {
-                if self.agents[agent].life != life {
+                if self.agents[agent].incarnation != incarnation {
                     return;
                 }
                 self.agents[agent].engine.cancel_all();
@@ -33,44 +36,54 @@
                     max_batch: engine_spec().max_batch,
                     models: vec!["model".into()],
                 };
-                self.tell(agent, life, agent::Event::TargetReady(facts));
+                self.send_agent_event(agent, incarnation, agent::Event::TargetReady(facts));
             }
-            EngineCall::Start(start) => self.on_engine_start(agent, life, *start),
+            EngineCall::Start(start) => self.on_engine_start(agent, incarnation, *start),
             EngineCall::Resume(id, limit) => {
                 if !engine.resume(&id.to_string(), limit) {
                     let failed = RunEvent::Failed(Verdict::MayHaveRun, "unknown run".into());
-                    self.tell(agent, life, agent::Event::Run(id, failed));
+                    self.send_agent_event(agent, incarnation, agent::Event::Run(id, failed));
                 }
             }
             EngineCall::Cancel(id) => {
                 let name = id.to_string();
                 let node = &mut self.agents[agent];
-                let has_arrived = node.names.contains_key(&name) || node.life != life;
+                let has_arrived =
+                    node.attempts.contains_key(&name) || node.incarnation != incarnation;
                 if !node.engine.cancel(&name) && !has_arrived {
-                    // It has overtaken the call that brings the run.
+                    // The cancel has overtaken the call that starts the run.
                     let call = EngineCall::Cancel(id);
-                    self.soon(Action::Engine { agent, life, call });
+                    self.schedule_with_delay(Action::Engine { agent, incarnation, call });
                     return;
                 }
-                self.tell(agent, life, agent::Event::Run(id, RunEvent::Cancelled));
+                self.send_agent_event(
+                    agent,
+                    incarnation,
+                    agent::Event::Run(id, RunEvent::Cancelled),
+                );
             }
-            EngineCall::CancelStray(id) => {
+            EngineCall::CancelOrphan(id) => {
                 engine.cancel(&id);
                 engine.unreserve(&id);
             }
             EngineCall::Reserve(id, tokens) => {
                 let is_held = engine.reserve(&id.to_string(), tokens);
-                self.tell(agent, life, agent::Event::Reserved(id, is_held));
+                self.send_agent_event(agent, incarnation, agent::Event::Reserved(id, is_held));
             }
             EngineCall::Unreserve(id) => {
                 engine.unreserve(&id.to_string());
-                self.tell(agent, life, agent::Event::Unreserved(id));
+                self.send_agent_event(agent, incarnation, agent::Event::Unreserved(id));
             }
         }
-        self.step(agent);
+        self.step_engine(agent);
     }
 
-    pub(super) fn on_dead_engine_call(&mut self, agent: usize, life: u64, call: EngineCall) {
+    pub(super) fn on_crashed_engine_call(
+        &mut self,
+        agent: usize,
+        incarnation: u64,
+        call: EngineCall,
+    ) {
         let event = match call {
             EngineCall::Start(start) => {
                 let failed = RunEvent::Failed(Verdict::NotRun, "no connection".into());
@@ -81,31 +94,31 @@
                 agent::Event::Run(id, failed)
             }
             EngineCall::Reserve(id, _) => agent::Event::Reserved(id, false),
-            EngineCall::CancelStray(_) => return,
+            EngineCall::CancelOrphan(_) => return,
             call => {
                 let again = self.now + Duration::from_millis(250);
-                self.at(again, Action::Engine { agent, life, call });
+                self.schedule_at(again, Action::Engine { agent, incarnation, call });
                 return;
             }
         };
-        self.tell(agent, life, event);
+        self.send_agent_event(agent, incarnation, event);
     }
 
-    pub(super) fn tell(&mut self, agent: usize, life: u64, event: agent::Event) {
-        self.soon(Action::Agent { agent, life, event: Box::new(event) });
+    pub(super) fn send_agent_event(&mut self, agent: usize, incarnation: u64, event: agent::Event) {
+        self.schedule_with_delay(Action::Agent { agent, incarnation, event: Box::new(event) });
     }
 
-    pub(super) fn on_engine_start(&mut self, agent: usize, life: u64, start: StartRun) {
+    pub(super) fn on_engine_start(&mut self, agent: usize, incarnation: u64, start: StartRun) {
         let name = start.id.to_string();
-        let count = self.starts.entry(name.clone()).or_default();
+        let count = self.start_counts.entry(name.clone()).or_default();
         *count += 1;
         if *count > 1 {
-            self.broken.push(format!("attempt {name} was started twice"));
+            self.violations.push(format!("attempt {name} was started twice"));
         }
         let prompt: Vec<u8> = start.body.iter().flatten().copied().collect();
         let prompt = String::from_utf8_lossy(&prompt).into_owned();
         let node = &mut self.agents[agent];
-        node.names.insert(name.clone(), (life, start.id));
+        node.attempts.insert(name.clone(), (incarnation, start.id));
         node.engine.start(EngineRunSpec {
             id: name,
             salt: start.account.to_string(),
@@ -118,41 +131,44 @@
         });
     }
 
-    pub(super) fn step(&mut self, agent: usize) {
+    pub(super) fn step_engine(&mut self, agent: usize) {
         let node = &mut self.agents[agent];
         if node.is_stepping || !node.engine.has_work() {
             return;
         }
         let step = node.engine.step();
         node.is_stepping = true;
-        let engine_life = node.engine_life;
+        let engine_incarnation = node.engine_incarnation;
         let at = self.now + step.duration;
-        self.at(at, Action::Step { agent, engine_life, events: step.events });
+        self.schedule_at(at, Action::Step { agent, engine_incarnation, events: step.events });
     }
 
     pub(super) fn on_step(
         &mut self,
         agent: usize,
-        engine_life: u64,
+        engine_incarnation: u64,
         events: Vec<(String, EngineEvent)>,
     ) {
         let node = &mut self.agents[agent];
-        if node.engine_life != engine_life {
+        if node.engine_incarnation != engine_incarnation {
             return;
         }
         node.is_stepping = false;
         for (name, event) in events {
-            let Some((life, id)) = self.agents[agent].names.get(&name).cloned() else { continue };
-            self.tell_in_order(agent, life, id, event);
+            let Some((incarnation, id)) = self.agents[agent].attempts.get(&name).cloned() else {
+                continue;
+            };
+            self.send_run_event(agent, incarnation, id, event);
         }
-        self.step(agent);
+        self.step_engine(agent);
     }
 
-    /// Events of one run keep their order, as on one connection.
-    pub(super) fn tell_in_order(
+    /// Sends an event of a run with a fixed delay, so that events keep their order as on one
+    /// connection.
+    pub(super) fn send_run_event(
         &mut self,
         agent: usize,
-        life: u64,
+        incarnation: u64,
         id: AttemptId,
         event: EngineEvent,
     ) {
@@ -170,57 +186,73 @@
             EngineEvent::Failed(reason) => RunEvent::Failed(Verdict::NotRun, reason.into()),
         };
         let event = Box::new(agent::Event::Run(id, event));
-        self.at(self.now + Duration::from_micros(300), Action::Agent { agent, life, event });
+        self.schedule_at(
+            self.now + Duration::from_micros(300),
+            Action::Agent { agent, incarnation, event },
+        );
     }
 
-    pub(super) fn on_look(&mut self, agent: usize) {
-        self.at(self.now + LOOK, Action::Look { agent });
+    pub(super) fn on_poll_engine(&mut self, agent: usize) {
+        self.schedule_at(self.now + ENGINE_POLL_INTERVAL, Action::PollEngine { agent });
         let node = &self.agents[agent];
-        if agent == PLAIN || node.engine_down > self.now || node.core.is_none() {
+        if agent == PLAIN_AGENT || node.engine_down_until > self.now || node.core.is_none() {
             return;
         }
         let names = node.engine.runs().into_iter().chain(node.engine.reservations());
         let runs = names.map(|id| EngineHolding { id }).collect();
-        let life = node.life;
-        self.tell(agent, life, agent::Event::EngineHoldings(runs));
+        let incarnation = node.incarnation;
+        self.send_agent_event(agent, incarnation, agent::Event::EngineHoldings(runs));
     }
 
-    pub(super) fn kill_engine(&mut self, agent: usize, down: Duration) {
+    pub(super) fn crash_engine(&mut self, agent: usize, down: Duration) {
         let node = &mut self.agents[agent];
         let runs = node.engine.runs();
         node.engine = EngineModel::new(engine_spec());
-        node.engine_life += 1;
+        node.engine_incarnation += 1;
         node.is_stepping = false;
-        node.engine_down = self.now + down;
+        node.engine_down_until = self.now + down;
         for name in runs {
-            let Some((life, id)) = self.agents[agent].names.get(&name).cloned() else { continue };
+            let Some((incarnation, id)) = self.agents[agent].attempts.get(&name).cloned() else {
+                continue;
+            };
             let failed = RunEvent::Failed(Verdict::MayHaveRun, "the stream broke off".into());
-            self.tell(agent, life, agent::Event::Run(id, failed));
+            self.send_agent_event(agent, incarnation, agent::Event::Run(id, failed));
         }
-        let life = self.agents[agent].life;
+        let incarnation = self.agents[agent].incarnation;
         let event = Box::new(agent::Event::TargetLost);
-        self.at(self.now + LOST, Action::Agent { agent, life, event });
+        self.schedule_at(
+            self.now + CRASH_DETECTION_DELAY,
+            Action::Agent { agent, incarnation, event },
+        );
     }
 
-    pub(super) fn on_plain_call(&mut self, life: u64, call: EngineCall) {
+    pub(super) fn on_plain_call(&mut self, incarnation: u64, call: EngineCall) {
         match call {
             EngineCall::Reset => {
-                self.tell(PLAIN, life, agent::Event::TargetReady(EngineFacts::default()));
+                self.send_agent_event(
+                    PLAIN_AGENT,
+                    incarnation,
+                    agent::Event::TargetReady(EngineFacts::default()),
+                );
             }
             EngineCall::Start(start) => {
                 let at = self.now + Duration::from_millis(self.rng.random_range(1..800));
-                self.at(at, Action::PlainRun { life, id: start.id });
+                self.schedule_at(at, Action::PlainRun { incarnation, id: start.id });
             }
             EngineCall::Cancel(id) => {
-                self.tell(PLAIN, life, agent::Event::Run(id, RunEvent::Cancelled));
+                self.send_agent_event(
+                    PLAIN_AGENT,
+                    incarnation,
+                    agent::Event::Run(id, RunEvent::Cancelled),
+                );
             }
             _ => {}
         }
     }
 
-    pub(super) fn on_plain_run(&mut self, life: u64, id: &AttemptId) {
-        *self.starts.entry(id.to_string()).or_default() += 1;
-        self.note(&format!("the plain service runs {id}"));
+    pub(super) fn on_plain_run(&mut self, incarnation: u64, id: &AttemptId) {
+        *self.start_counts.entry(id.to_string()).or_default() += 1;
+        self.log_line(&format!("the plain service runs {id}"));
         let is_lost = self.rng.random_bool(0.1);
         let events = if is_lost {
             vec![RunEvent::Failed(Verdict::MayHaveRun, "no answer".into())]
@@ -230,7 +262,7 @@
         };
         for event in events {
             let event = Box::new(agent::Event::Run(id.clone(), event));
-            self.at(self.now, Action::Agent { agent: PLAIN, life, event });
+            self.schedule_at(self.now, Action::Agent { agent: PLAIN_AGENT, incarnation, event });
         }
     }
 }
--- a/standins/src/chaos/world.rs
+++ b/standins/src/chaos/world.rs
@@ -1,5 +1,4 @@
-//! The real cores of entries and agents, and models of everything round them,
-//! in virtual time.
+//! The product's entry and agent cores in a simulated environment, in virtual time.
 
 use std::cell::RefCell;
 use std::cmp::Reverse;
@@ -18,44 +17,44 @@
 use shalelane::wire::{ToAgent, ToEntry};
 use shalelane::{AttemptId, Incarnation, ProcessId, RequestId};
 
-use super::callers::{CallerBook, plan_requests};
+use super::callers::{CallerTable, generate_requests};
 use super::plan::{BUSY_MS, ChaosPlan, ENGINES, ENTRIES, FaultKind};
 use crate::engine_model::{EngineEvent, EngineModel, EngineSpec};
 
-/// Virtual time after which everything must have come to rest.
-pub(super) const END: Tick = Tick(BUSY_MS * 1_000 + 150_000_000);
+/// Virtual time at which all requests must have ended and all memory must be free.
+pub(super) const END_TIME: Tick = Tick(BUSY_MS * 1_000 + 150_000_000);
 
-/// Longest time that a message takes.
-pub(super) const DELAY_US: u64 = 4_000;
+/// Maximum latency of a message, in microseconds.
+pub(super) const MAX_DELAY_US: u64 = 4_000;
 
-/// Time after which a half-open link is found out.
-pub(super) const SILENT: Duration = Duration::from_secs(3);
+/// Time after which an entry detects a half-open link.
+pub(super) const HALF_OPEN_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Time until an agent notices that its engine is gone.
-pub(super) const LOST: Duration = Duration::from_millis(750);
+/// Time until an agent detects the crash of its engine.
+pub(super) const CRASH_DETECTION_DELAY: Duration = Duration::from_millis(750);
 
-/// Time from one look at an engine's runs to the next.
-pub(super) const LOOK: Duration = Duration::from_secs(2);
+/// Interval between two polls of the runs and reservations of an engine.
+pub(super) const ENGINE_POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Time after the beginning of a planned stop from which nothing may start.
-pub(super) const LEAVE_BOUND: Duration = Duration::from_secs(2);
+/// Time after the start of a drain from which the agent must not start runs.
+pub(super) const DRAIN_BOUND: Duration = Duration::from_secs(2);
 
-/// One attempt in so many arrives twice, body and all.
-pub(super) const DOUBLED_EVERY: u64 = 12;
+/// One in this number of attempts arrives twice, including its body.
+pub(super) const DUPLICATE_EVERY: u64 = 12;
 
-/// Share of an answer's parts that arrive twice.
-pub(super) const DOUBLED_PARTS: f64 = 0.02;
+/// Fraction of answer chunks that arrive twice.
+pub(super) const DUPLICATE_CHUNK_RATE: f64 = 0.02;
 
-/// Time by which a run has ended whose caller went away, where nothing failed.
-pub(super) const GONE_BOUND: Duration = Duration::from_secs(2);
+/// Time within which a run ends after its caller disconnects, in a run without faults.
+pub(super) const CANCEL_BOUND: Duration = Duration::from_secs(2);
 
-/// Lines of the log of a failing run.
-pub(super) const LOG_LINES: usize = 400;
+/// Maximum number of log lines that are stored.
+pub(super) const MAX_LOG_LINES: usize = 400;
 
 /// Index of the agent beside the plain service.
-pub(super) const PLAIN: usize = ENGINES;
+pub(super) const PLAIN_AGENT: usize = ENGINES;
 
-/// The last events of a run, which outlive a core that stops the program.
+/// Last log lines of a run, shared so that they survive a panic of a core.
 pub type SharedLog = Rc<RefCell<VecDeque<String>>>;
 
 #[derive(Debug)]
@@ -64,7 +63,7 @@
     Start(Box<StartRun>),
     Resume(AttemptId, Option<u64>),
     Cancel(AttemptId),
-    CancelStray(String),
+    CancelOrphan(String),
     Reserve(AttemptId, u64),
     Unreserve(AttemptId),
 }
@@ -73,122 +72,122 @@
 pub(super) enum Action {
     Arrive(usize),
     CallerGone(usize),
-    CheckGone(RequestId),
-    Entry { entry: usize, life: u64, event: Box<entry::Event> },
-    Agent { agent: usize, life: u64, event: Box<agent::Event> },
-    OverLink { link: u64, message: Box<ToAgent> },
-    BackLink { link: u64, message: Box<ToEntry> },
-    Open { link: u64 },
-    AgentSideGone { link: u64 },
-    EntrySideGone { link: u64 },
-    Engine { agent: usize, life: u64, call: EngineCall },
-    Step { agent: usize, engine_life: u64, events: Vec<(String, EngineEvent)> },
-    PlainRun { life: u64, id: AttemptId },
-    Look { agent: usize },
+    CheckCancelled(RequestId),
+    Entry { entry: usize, incarnation: u64, event: Box<entry::Event> },
+    Agent { agent: usize, incarnation: u64, event: Box<agent::Event> },
+    DeliverToAgent { link: u64, message: Box<ToAgent> },
+    DeliverToEntry { link: u64, message: Box<ToEntry> },
+    OpenLink { link: u64 },
+    CloseAgentSide { link: u64 },
+    CloseEntrySide { link: u64 },
+    Engine { agent: usize, incarnation: u64, call: EngineCall },
+    Step { agent: usize, engine_incarnation: u64, events: Vec<(String, EngineEvent)> },
+    PlainRun { incarnation: u64, id: AttemptId },
+    PollEngine { agent: usize },
     StartAgent(usize),
     StartEntry(usize),
     Fault(FaultKind),
 }
 
 #[derive(Debug)]
-struct Timed {
+struct ScheduledAction {
     at: Tick,
     order: u64,
     action: Action,
 }
 
-impl PartialEq for Timed {
+impl PartialEq for ScheduledAction {
     fn eq(&self, other: &Self) -> bool {
         self.order == other.order
     }
 }
 
-impl Eq for Timed {}
+impl Eq for ScheduledAction {}
 
-impl PartialOrd for Timed {
+impl PartialOrd for ScheduledAction {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Timed {
+impl Ord for ScheduledAction {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         (self.at, self.order).cmp(&(other.at, other.order))
     }
 }
 
-/// Which sides still take the link for standing.
+/// Which sides consider the link open.
 #[derive(Debug)]
-pub(super) struct LinkSeen {
-    pub(super) by_entry: bool,
-    pub(super) by_agent: bool,
+pub(super) struct LinkSides {
+    pub(super) entry: bool,
+    pub(super) agent: bool,
 }
 
 #[derive(Debug)]
 pub(super) struct Link {
     pub(super) entry: usize,
     pub(super) agent: usize,
-    pub(super) entry_life: u64,
-    pub(super) agent_life: u64,
+    pub(super) entry_incarnation: u64,
+    pub(super) agent_incarnation: u64,
     pub(super) is_open: bool,
-    pub(super) swallows: bool,
-    pub(super) seen: LinkSeen,
-    pub(super) agent_next: Tick,
-    pub(super) entry_next: Tick,
+    pub(super) drops_messages: bool,
+    pub(super) open_sides: LinkSides,
+    pub(super) next_agent_delivery: Tick,
+    pub(super) next_entry_delivery: Tick,
 }
 
 #[derive(Debug)]
 pub(super) struct AgentNode {
     pub(super) core: Option<AgentCore>,
-    pub(super) life: u64,
+    pub(super) incarnation: u64,
     pub(super) paused_until: Tick,
     pub(super) engine: EngineModel,
-    pub(super) engine_life: u64,
-    pub(super) engine_down: Tick,
+    pub(super) engine_incarnation: u64,
+    pub(super) engine_down_until: Tick,
     pub(super) is_stepping: bool,
     pub(super) draining_since: Option<Tick>,
-    pub(super) names: BTreeMap<String, (u64, AttemptId)>,
+    pub(super) attempts: BTreeMap<String, (u64, AttemptId)>,
 }
 
 #[derive(Debug)]
 pub(super) struct EntryNode {
     pub(super) core: Option<EntryCore>,
-    pub(super) life: u64,
+    pub(super) incarnation: u64,
     pub(super) paused_until: Tick,
-    pub(super) numbers: u64,
+    pub(super) last_number: u64,
     pub(super) version: ConfigVersion,
 }
 
-/// One run.
+/// State of a run.
 #[derive(Debug)]
 pub struct World {
     pub(super) now: Tick,
     pub(super) order: u64,
-    queue: BinaryHeap<Reverse<Timed>>,
+    queue: BinaryHeap<Reverse<ScheduledAction>>,
     pub(super) rng: StdRng,
     pub(super) entries: Vec<EntryNode>,
     pub(super) agents: Vec<AgentNode>,
     pub(super) links: BTreeMap<u64, Link>,
-    pub(super) current: BTreeMap<(usize, usize), u64>,
+    pub(super) current_links: BTreeMap<(usize, usize), u64>,
     pub(super) next_link: u64,
-    pub(super) callers: CallerBook,
+    pub(super) callers: CallerTable,
     pub(super) accounts: AccountTable,
-    pub(super) starts: BTreeMap<String, u64>,
+    pub(super) start_counts: BTreeMap<String, u64>,
     pub(super) log: SharedLog,
-    pub(super) is_calm: bool,
-    pub(super) broken: Vec<String>,
+    pub(super) is_fault_free: bool,
+    pub(super) violations: Vec<String>,
 }
 
-/// What came of a run.
+/// Results of a run.
 #[derive(Clone, Debug, Default)]
 pub struct ChaosOutcome {
-    /// Promises found broken.
+    /// Descriptions of violated guarantees.
     pub broken: Vec<String>,
-    /// The last events.
+    /// Last lines of the log.
     pub log: Vec<String>,
-    /// Requests that were answered whole.
+    /// Number of requests with a complete answer.
     pub finished: usize,
-    /// Requests that failed.
+    /// Number of failed requests.
     pub failed: usize,
 }
 
@@ -228,7 +227,7 @@
 
 pub(super) fn chaos_config(version: u64) -> Config {
     let text = CONFIG.replace("SHORT", &to_key("short")).replace("LONG", &to_key("long"));
-    let config = Config::from_toml(&text).expect("a good configuration");
+    let config = Config::from_toml(&text).expect("the configuration is valid");
     Config { version: ConfigVersion(version), ..config }
 }
 
@@ -264,11 +263,11 @@
 }
 
 impl World {
-    /// Sets a run up.
+    /// Creates the initial state of a run.
     #[must_use]
     pub fn new(plan: &ChaosPlan, log: SharedLog) -> Self {
         let mut rng = StdRng::seed_from_u64(plan.seed);
-        let callers = CallerBook::new(plan_requests(&mut rng, ENTRIES));
+        let callers = CallerTable::new(generate_requests(&mut rng, ENTRIES));
         let accounts = AccountTable::from_config(&Arc::new(chaos_config(5)));
         let mut world = World {
             now: Tick(0),
@@ -278,126 +277,132 @@
             entries: (0..ENTRIES).map(|_| EntryNode::new()).collect(),
             agents: (0..=ENGINES).map(|_| AgentNode::new()).collect(),
             links: BTreeMap::new(),
-            current: BTreeMap::new(),
+            current_links: BTreeMap::new(),
             next_link: 0,
             callers,
             accounts,
-            starts: BTreeMap::new(),
+            start_counts: BTreeMap::new(),
             log,
-            is_calm: plan.faults.is_empty(),
-            broken: Vec::new(),
+            is_fault_free: plan.faults.is_empty(),
+            violations: Vec::new(),
         };
         for agent in 0..=ENGINES {
-            world.at(Tick(0), Action::StartAgent(agent));
-            world.at(Tick(0) + LOOK, Action::Look { agent });
+            world.schedule_at(Tick(0), Action::StartAgent(agent));
+            world.schedule_at(Tick(0) + ENGINE_POLL_INTERVAL, Action::PollEngine { agent });
         }
         for entry in 0..ENTRIES {
-            world.at(Tick(0), Action::StartEntry(entry));
+            world.schedule_at(Tick(0), Action::StartEntry(entry));
         }
         for index in 0..world.callers.requests.len() {
             let request = world.callers.requests[index].clone();
-            world.at(request.at + Duration::from_millis(50), Action::Arrive(index));
-            if let Some(gone) = request.gone {
-                world.at(gone + Duration::from_millis(50), Action::CallerGone(index));
+            world.schedule_at(request.at + Duration::from_millis(50), Action::Arrive(index));
+            if let Some(gone) = request.leaves_at {
+                world.schedule_at(gone + Duration::from_millis(50), Action::CallerGone(index));
             }
         }
         for fault in &plan.faults {
-            world.at(Tick(fault.at_ms * 1_000), Action::Fault(fault.kind));
+            world.schedule_at(Tick(fault.at_ms * 1_000), Action::Fault(fault.kind));
         }
         world
     }
 
-    /// Runs to the end and checks every promise.
+    /// Executes the run up to its end or the first violation, and checks all guarantees.
     #[must_use]
     pub fn run(mut self) -> ChaosOutcome {
         while let Some(Reverse(next)) = self.queue.pop() {
-            if next.at > END {
+            if next.at > END_TIME {
                 break;
             }
             self.now = next.at;
             self.act(next);
-            if !self.broken.is_empty() || !self.callers.broken.is_empty() {
+            if !self.violations.is_empty() || !self.callers.violations.is_empty() {
                 break;
             }
         }
-        if self.broken.is_empty() && self.callers.broken.is_empty() {
+        if self.violations.is_empty() && self.callers.violations.is_empty() {
             self.check_end();
         }
         self.into_outcome()
     }
 
     pub(super) fn into_outcome(self) -> ChaosOutcome {
-        let ends = |wanted: bool| {
+        let count_results = |is_ok: bool| {
             let views = self.callers.views.iter();
-            views.filter(|view| view.end.is_some_and(|end| end.is_ok() == wanted)).count()
+            views.filter(|view| view.result.is_some_and(|result| result.is_ok() == is_ok)).count()
         };
-        let (finished, failed) = (ends(true), ends(false));
-        let mut broken = self.broken;
-        broken.extend(self.callers.broken);
+        let (finished, failed) = (count_results(true), count_results(false));
+        let mut broken = self.violations;
+        broken.extend(self.callers.violations);
         ChaosOutcome { broken, log: Vec::new(), finished, failed }
     }
 
-    pub(super) fn at(&mut self, at: Tick, action: Action) {
+    pub(super) fn schedule_at(&mut self, at: Tick, action: Action) {
         self.order += 1;
         let order = self.order;
-        self.queue.push(Reverse(Timed { at, order, action }));
+        self.queue.push(Reverse(ScheduledAction { at, order, action }));
     }
 
-    pub(super) fn soon(&mut self, action: Action) {
+    pub(super) fn schedule_with_delay(&mut self, action: Action) {
         let delay = self.delay();
-        self.at(self.now + delay, action);
+        self.schedule_at(self.now + delay, action);
     }
 
     pub(super) fn delay(&mut self) -> Duration {
-        Duration::from_micros(self.rng.random_range(100..DELAY_US))
+        Duration::from_micros(self.rng.random_range(100..MAX_DELAY_US))
     }
 
-    pub(super) fn note(&mut self, line: &str) {
+    pub(super) fn log_line(&mut self, line: &str) {
         let mut log = self.log.borrow_mut();
-        if log.len() == LOG_LINES {
+        if log.len() == MAX_LOG_LINES {
             log.pop_front();
         }
         log.push_back(format!("{:>10.3} ms  {line}", self.now.0 as f64 / 1e3));
     }
 
-    fn act(&mut self, timed: Timed) {
-        match timed.action {
+    fn act(&mut self, scheduled: ScheduledAction) {
+        match scheduled.action {
             Action::Arrive(index) => self.on_arrive(index),
             Action::CallerGone(index) => self.on_caller_gone(index),
-            Action::CheckGone(id) => self.check_gone(&id),
-            Action::Entry { entry, life, event } => {
+            Action::CheckCancelled(id) => self.check_cancelled(&id),
+            Action::Entry { entry, incarnation, event } => {
                 let node = &self.entries[entry];
-                if node.life == life && node.paused_until > self.now {
-                    let action = Action::Entry { entry, life, event };
-                    let again = Timed { at: node.paused_until, order: timed.order, action };
+                if node.incarnation == incarnation && node.paused_until > self.now {
+                    let action = Action::Entry { entry, incarnation, event };
+                    let again =
+                        ScheduledAction { at: node.paused_until, order: scheduled.order, action };
                     self.queue.push(Reverse(again));
-                } else if node.life == life {
-                    self.feed_entry(entry, *event);
+                } else if node.incarnation == incarnation {
+                    self.on_entry_event(entry, *event);
                 }
             }
-            Action::Agent { agent, life, event } => {
+            Action::Agent { agent, incarnation, event } => {
                 let node = &self.agents[agent];
-                if node.life == life && node.paused_until > self.now {
-                    let action = Action::Agent { agent, life, event };
-                    let again = Timed { at: node.paused_until, order: timed.order, action };
+                if node.incarnation == incarnation && node.paused_until > self.now {
+                    let action = Action::Agent { agent, incarnation, event };
+                    let again =
+                        ScheduledAction { at: node.paused_until, order: scheduled.order, action };
                     self.queue.push(Reverse(again));
-                } else if node.life == life {
+                } else if node.incarnation == incarnation {
                     if matches!(*event, agent::Event::Drain) {
-                        // One that stands still hears of it when it goes on.
+                        // A paused agent receives the drain only after its pause.
                         self.agents[agent].draining_since.get_or_insert(self.now);
                     }
-                    self.feed_agent(agent, *event);
+                    self.on_agent_event(agent, *event);
                 }
             }
-            Action::OverLink { link, message } => self.on_over_link(link, *message),
-            Action::BackLink { link, message } => self.on_back_link(link, *message),
-            Action::Open { link } => self.on_open(link),
-            Action::AgentSideGone { link } => self.on_agent_side_gone(link),
-            Action::EntrySideGone { link } => self.on_entry_side_gone(link),
-            Action::Engine { agent, life, call } => self.on_engine_call(agent, life, call),
-            Action::Step { agent, engine_life, events } => self.on_step(agent, engine_life, events),
-            Action::PlainRun { life, id } => self.on_plain_run(life, &id),
-            Action::Look { agent } => self.on_look(agent),
+            Action::DeliverToAgent { link, message } => self.deliver_to_agent(link, *message),
+            Action::DeliverToEntry { link, message } => self.deliver_to_entry(link, *message),
+            Action::OpenLink { link } => self.on_open_link(link),
+            Action::CloseAgentSide { link } => self.on_close_agent_side(link),
+            Action::CloseEntrySide { link } => self.on_close_entry_side(link),
+            Action::Engine { agent, incarnation, call } => {
+                self.on_engine_call(agent, incarnation, call)
+            }
+            Action::Step { agent, engine_incarnation, events } => {
+                self.on_step(agent, engine_incarnation, events)
+            }
+            Action::PlainRun { incarnation, id } => self.on_plain_run(incarnation, &id),
+            Action::PollEngine { agent } => self.on_poll_engine(agent),
             Action::StartAgent(agent) => self.start_agent(agent),
             Action::StartEntry(entry) => self.start_entry(entry),
             Action::Fault(kind) => self.on_fault(kind),
@@ -409,14 +414,14 @@
     pub(super) fn new() -> Self {
         AgentNode {
             core: None,
-            life: 1,
+            incarnation: 1,
             paused_until: Tick(0),
             engine: EngineModel::new(engine_spec()),
-            engine_life: 1,
-            engine_down: Tick(0),
+            engine_incarnation: 1,
+            engine_down_until: Tick(0),
             is_stepping: false,
             draining_since: None,
-            names: BTreeMap::new(),
+            attempts: BTreeMap::new(),
         }
     }
 }
@@ -425,25 +430,25 @@
     pub(super) fn new() -> Self {
         EntryNode {
             core: None,
-            life: 1,
+            incarnation: 1,
             paused_until: Tick(0),
-            numbers: 0,
+            last_number: 0,
             version: ConfigVersion(0),
         }
     }
 }
 
-/// How much later a second copy of a message arrives, if one does.
-pub(super) fn to_doubling(message: &ToAgent) -> Option<Duration> {
+/// Returns the delay of the second copy of a message, or `None` if it arrives only once.
+pub(super) fn duplicate_delay(message: &ToAgent) -> Option<Duration> {
     let key = match message {
         ToAgent::Dispatch(dispatch) => dispatch.attempt,
         ToAgent::Body(key, _) => *key,
         _ => return None,
     };
     let mixed = key.0 * 7 + u64::from(key.1);
-    (mixed % DOUBLED_EVERY == 0).then(|| Duration::from_millis(mixed * 37 % 4_000))
+    (mixed % DUPLICATE_EVERY == 0).then(|| Duration::from_millis(mixed * 37 % 4_000))
 }
 
-pub(super) fn entry_process(entry: usize, life: u64) -> ProcessId {
-    ProcessId { name: format!("entry-{entry}").into(), incarnation: Incarnation(life) }
+pub(super) fn entry_process(entry: usize, incarnation: u64) -> ProcessId {
+    ProcessId { name: format!("entry-{entry}").into(), incarnation: Incarnation(incarnation) }
 }
--- a/standins/tests/control.rs
+++ b/standins/tests/control.rs
@@ -48,9 +48,6 @@
 fn every_entry_has_a_change_within_half_of_the_bound() {
     for entries in [60, 120, 240] {
         let last = figures(entries).last_ms;
-        assert!(
-            last <= APPLY_MS / 2,
-            "{last} ms until all {entries} entries have the change"
-        );
+        assert!(last <= APPLY_MS / 2, "{last} ms until all {entries} entries have the change");
     }
 }
