--- a/standins/src/chaos/agents.rs
+++ b/standins/src/chaos/agents.rs
@@ -55,7 +55,7 @@
         if let EngineCall::Start(start) = &call {
             self.check_drain(agent, &start.id);
         }
-        self.schedule_with_delay(Action::Engine { agent, incarnation, call });
+        self.schedule_with_delay(Action::Call { agent, incarnation, call });
     }
 
     pub(super) fn check_drain(&mut self, agent: usize, id: &AttemptId) {
--- a/standins/src/chaos/targets.rs
+++ b/standins/src/chaos/targets.rs
@@ -14,13 +14,13 @@
 use crate::prompt::prompt_hash;
 
 impl World {
-    pub(super) fn on_engine_call(&mut self, agent: usize, incarnation: u64, call: EngineCall) {
+    pub(super) fn call_engine(&mut self, agent: usize, incarnation: u64, call: EngineCall) {
         if agent == PLAIN_AGENT {
-            self.on_plain_call(incarnation, call);
+            self.call_plain_service(incarnation, call);
             return;
         }
         if self.agents[agent].engine_down_until > self.now {
-            self.on_crashed_engine_call(agent, incarnation, call);
+            self.call_crashed_engine(agent, incarnation, call);
             return;
         }
         let engine = &mut self.agents[agent].engine;
@@ -53,7 +53,7 @@
                 if !node.engine.cancel(&name) && !has_arrived {
                     // The cancel has overtaken the call that starts the run.
                     let call = EngineCall::Cancel(id);
-                    self.schedule_with_delay(Action::Engine { agent, incarnation, call });
+                    self.schedule_with_delay(Action::Call { agent, incarnation, call });
                     return;
                 }
                 self.send_agent_event(
@@ -78,12 +78,7 @@
         self.step_engine(agent);
     }
 
-    pub(super) fn on_crashed_engine_call(
-        &mut self,
-        agent: usize,
-        incarnation: u64,
-        call: EngineCall,
-    ) {
+    pub(super) fn call_crashed_engine(&mut self, agent: usize, incarnation: u64, call: EngineCall) {
         let event = match call {
             EngineCall::Start(start) => {
                 let failed = RunEvent::Failed(Verdict::NotRun, "no connection".into());
@@ -97,7 +92,7 @@
             EngineCall::CancelOrphan(_) => return,
             call => {
                 let again = self.now + Duration::from_millis(250);
-                self.schedule_at(again, Action::Engine { agent, incarnation, call });
+                self.schedule_at(again, Action::Call { agent, incarnation, call });
                 return;
             }
         };
@@ -138,19 +133,19 @@
         }
         let step = node.engine.step();
         node.is_stepping = true;
-        let engine_incarnation = node.engine_incarnation;
+        let engine_boot = node.engine_boot;
         let at = self.now + step.duration;
-        self.schedule_at(at, Action::Step { agent, engine_incarnation, events: step.events });
+        self.schedule_at(at, Action::Step { agent, engine_boot, events: step.events });
     }
 
     pub(super) fn on_step(
         &mut self,
         agent: usize,
-        engine_incarnation: u64,
+        engine_boot: u64,
         events: Vec<(String, EngineEvent)>,
     ) {
         let node = &mut self.agents[agent];
-        if node.engine_incarnation != engine_incarnation {
+        if node.engine_boot != engine_boot {
             return;
         }
         node.is_stepping = false;
@@ -208,7 +203,7 @@
         let node = &mut self.agents[agent];
         let runs = node.engine.runs();
         node.engine = EngineModel::new(engine_spec());
-        node.engine_incarnation += 1;
+        node.engine_boot += 1;
         node.is_stepping = false;
         node.engine_down_until = self.now + down;
         for name in runs {
@@ -226,7 +221,7 @@
         );
     }
 
-    pub(super) fn on_plain_call(&mut self, incarnation: u64, call: EngineCall) {
+    pub(super) fn call_plain_service(&mut self, incarnation: u64, call: EngineCall) {
         match call {
             EngineCall::Reset => {
                 self.send_agent_event(
--- a/standins/src/chaos/world.rs
+++ b/standins/src/chaos/world.rs
@@ -80,8 +80,8 @@
     OpenLink { link: u64 },
     CloseAgentSide { link: u64 },
     CloseEntrySide { link: u64 },
-    Engine { agent: usize, incarnation: u64, call: EngineCall },
-    Step { agent: usize, engine_incarnation: u64, events: Vec<(String, EngineEvent)> },
+    Call { agent: usize, incarnation: u64, call: EngineCall },
+    Step { agent: usize, engine_boot: u64, events: Vec<(String, EngineEvent)> },
     PlainRun { incarnation: u64, id: AttemptId },
     PollEngine { agent: usize },
     StartAgent(usize),
@@ -142,7 +142,7 @@
     pub(super) incarnation: u64,
     pub(super) paused_until: Tick,
     pub(super) engine: EngineModel,
-    pub(super) engine_incarnation: u64,
+    pub(super) engine_boot: u64,
     pub(super) engine_down_until: Tick,
     pub(super) is_stepping: bool,
     pub(super) draining_since: Option<Tick>,
@@ -395,12 +395,8 @@
             Action::OpenLink { link } => self.on_open_link(link),
             Action::CloseAgentSide { link } => self.on_close_agent_side(link),
             Action::CloseEntrySide { link } => self.on_close_entry_side(link),
-            Action::Engine { agent, incarnation, call } => {
-                self.on_engine_call(agent, incarnation, call)
-            }
-            Action::Step { agent, engine_incarnation, events } => {
-                self.on_step(agent, engine_incarnation, events)
-            }
+            Action::Call { agent, incarnation, call } => self.call_engine(agent, incarnation, call),
+            Action::Step { agent, engine_boot, events } => self.on_step(agent, engine_boot, events),
             Action::PlainRun { incarnation, id } => self.on_plain_run(incarnation, &id),
             Action::PollEngine { agent } => self.on_poll_engine(agent),
             Action::StartAgent(agent) => self.start_agent(agent),
@@ -417,7 +413,7 @@
             incarnation: 1,
             paused_until: Tick(0),
             engine: EngineModel::new(engine_spec()),
-            engine_incarnation: 1,
+            engine_boot: 1,
             engine_down_until: Tick(0),
             is_stepping: false,
             draining_since: None,
--- a/standins/src/engine_server.rs
+++ b/standins/src/engine_server.rs
@@ -25,7 +25,7 @@
 use crate::prompt::prompt_hash;
 use crate::serve::{Reply, ReplyBody, ServerThread, query_u64, reply, reply_json, serve_http};
 
-/// Age at which the reported load is refreshed: reports start_lag behind by up to this time.
+/// Age at which the reported load is refreshed: reports are at most this old.
 const LOAD_REPORT_LAG: Duration = Duration::from_millis(400);
 
 /// Delay before an event of the prefix cache is visible to pollers.
--- a/standins/src/replay/world.rs
+++ b/standins/src/replay/world.rs
@@ -28,9 +28,9 @@
 /// Delay of a datagram or a chunk of an answer between two hosts.
 const LINK_DELAY: Duration = Duration::from_micros(900);
 
-/// Divisor of the first-event limit that gives the interval at which a waiting prompt is
+/// Divisor of the first-event limit that gives the delay after which a waiting prompt is
 /// placed again, as in the relay.
-const PLACE_INTERVAL_DIVISOR: u32 = 30;
+const PLACE_DELAY_DIVISOR: u32 = 30;
 
 /// Number of times a caller retries after a refusal.
 const MAX_RETRIES: u32 = 1;
@@ -250,9 +250,7 @@
             WorldEvent::Receive(number, engine, prefill) => self.receive(number, engine, prefill),
             WorldEvent::UnitEnd(engine) => self.end_unit(engine),
             WorldEvent::Event(number, attempt) => self.receive_event(number, attempt),
-            WorldEvent::Message(entry, message) => {
-                self.entries[entry].apply_message(message, self.now)
-            }
+            WorldEvent::Message(to, message) => self.entries[to].apply_message(message, self.now),
             WorldEvent::TimeUp(number) => self.end(number, ReplayEnd::TimedOut),
         }
     }
@@ -280,17 +278,15 @@
             return;
         }
         let need = self.need(number);
-        let interval = need.first_event_limit / PLACE_INTERVAL_DIVISOR;
+        let delay = need.first_event_limit / PLACE_DELAY_DIVISOR;
         let core = &mut self.entries[request.entry];
         let scope = TargetScope::Untried(&[]);
         let Some(placement) = core.place(SERVICE, Some(&need), scope, self.now) else {
-            return self.refuse(number, interval);
+            return self.refuse(number, delay);
         };
-        match placement.decide(&need, interval, &self.policy) {
+        match placement.decide(&need, delay, &self.policy) {
             PlacementAction::Send => self.send(number, &placement, &need),
-            PlacementAction::Wait => {
-                self.schedule_after(interval, WorldEvent::Place(number, attempt))
-            }
+            PlacementAction::Wait => self.schedule_after(delay, WorldEvent::Place(number, attempt)),
             PlacementAction::Refuse => {
                 let retry_after = after_overload(&placement, &need, &mut self.random);
                 self.refuse(number, retry_after);
