--- a/standins/src/chaos/callers.rs
+++ b/standins/src/chaos/callers.rs
@@ -9,7 +9,7 @@
 use shalelane::time::Tick;
 use shalelane::{RequestId, Verdict};
 
-use super::plan::{BUSY_MS, REQUESTS};
+use super::plan::{ARRIVAL_PERIOD_MS, REQUESTS};
 use crate::prompt::{make_prompt, prompt_hash, whole_answer};
 
 /// Tolerance for final answers after their deadline.
@@ -48,7 +48,7 @@
 }
 
 fn generate_request(rng: &mut StdRng, entries: usize) -> CallerRequest {
-    let at = Tick(rng.random_range(0..BUSY_MS * 1_000));
+    let at = Tick(rng.random_range(0..ARRIVAL_PERIOD_MS * 1_000));
     let is_order = rng.random_bool(0.2);
     let kind: f64 = rng.random();
     let tokens = match kind {
--- a/standins/src/chaos/plan.rs
+++ b/standins/src/chaos/plan.rs
@@ -5,7 +5,7 @@
 use rand::{Rng, SeedableRng};
 
 /// Virtual time, in milliseconds, in which requests arrive and faults begin.
-pub const BUSY_MS: u64 = 20_000;
+pub const ARRIVAL_PERIOD_MS: u64 = 20_000;
 
 /// Number of engines, each with an agent; one more agent serves a plain service.
 pub const ENGINES: usize = 4;
@@ -116,7 +116,7 @@
 
 impl PlannedFault {
     fn random(rng: &mut StdRng) -> Self {
-        let at_ms = rng.random_range(0..BUSY_MS);
+        let at_ms = rng.random_range(0..ARRIVAL_PERIOD_MS);
         let entry = rng.random_range(0..ENTRIES);
         let agent = rng.random_range(0..=ENGINES);
         let engine = rng.random_range(0..ENGINES);
--- a/standins/src/chaos/world.rs
+++ b/standins/src/chaos/world.rs
@@ -18,11 +18,11 @@
 use shalelane::{AttemptId, Incarnation, ProcessId, RequestId};
 
 use super::callers::{CallerTable, generate_requests};
-use super::plan::{BUSY_MS, ChaosPlan, ENGINES, ENTRIES, FaultKind};
+use super::plan::{ARRIVAL_PERIOD_MS, ChaosPlan, ENGINES, ENTRIES, FaultKind};
 use crate::engine_model::{EngineEvent, EngineModel, EngineSpec};
 
 /// Virtual time at which all requests must have ended and all memory must be free.
-pub(super) const END_TIME: Tick = Tick(BUSY_MS * 1_000 + 150_000_000);
+pub(super) const END_TIME: Tick = Tick(ARRIVAL_PERIOD_MS * 1_000 + 150_000_000);
 
 /// Maximum latency of a message, in microseconds.
 pub(super) const MAX_DELAY_US: u64 = 4_000;
--- a/standins/src/engine_model.rs
+++ b/standins/src/engine_model.rs
@@ -19,7 +19,7 @@
 use crate::prompt::push_answer_token;
 
 /// Size of a prefix cache block in bytes of prompt.
-const CACHE_BLOCK: usize = 4096;
+const CACHE_BLOCK_BYTES: usize = 4096;
 
 /// Speeds and sizes of an engine.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -66,7 +66,7 @@
 /// Parameters of a run.
 #[derive(Clone, Debug)]
 pub struct EngineRunSpec {
-    /// Unique name of the run.
+    /// Name of the run.
     pub id: String,
     /// Salt of the prefix cache.
     pub salt: String,
@@ -147,7 +147,7 @@
 #[derive(Debug)]
 struct CacheEntry {
     run: String,
-    chain: Vec<u64>,
+    block_hashes: Vec<u64>,
     tokens: u64,
 }
 
@@ -372,21 +372,22 @@
     }
 
     fn find_cached_tokens(&mut self, run: &ModelRun) -> u64 {
-        let chain = hash_blocks(&run.spec.salt, &run.spec.prompt);
-        let common =
-            |entry: &CacheEntry| entry.chain.iter().zip(&chain).take_while(|(a, b)| a == b).count();
+        let block_hashes = hash_blocks(&run.spec.salt, &run.spec.prompt);
+        let common = |entry: &CacheEntry| {
+            entry.block_hashes.iter().zip(&block_hashes).take_while(|(a, b)| a == b).count()
+        };
         let common_blocks = self.cache.iter().map(common).max().unwrap_or(0);
-        ((common_blocks * CACHE_BLOCK) as f64 / self.spec.bytes_per_token) as u64
+        ((common_blocks * CACHE_BLOCK_BYTES) as f64 / self.spec.bytes_per_token) as u64
     }
 
     fn cache_prefix(&mut self, run: ModelRun) {
-        let chain = hash_blocks(&run.spec.salt, &run.spec.prompt);
-        if chain.is_empty() || run.spec.remote_tokens > 0 {
+        let block_hashes = hash_blocks(&run.spec.salt, &run.spec.prompt);
+        if block_hashes.is_empty() || run.spec.remote_tokens > 0 {
             return;
         }
         let tokens = run.prompt_tokens;
         self.changes.push(CacheChange { run: run.spec.id.clone(), tokens });
-        self.cache.push_back(CacheEntry { run: run.spec.id, chain, tokens });
+        self.cache.push_back(CacheEntry { run: run.spec.id, block_hashes, tokens });
         self.evict();
     }
 
@@ -406,7 +407,7 @@
 /// Hashes the blocks of a prompt, each seeded with the hash of the block before it.
 fn hash_blocks(salt: &str, prompt: &str) -> Vec<u64> {
     let mut chain = xxh3_64_with_seed(salt.as_bytes(), 0);
-    let blocks = prompt.as_bytes().chunks_exact(CACHE_BLOCK);
+    let blocks = prompt.as_bytes().chunks_exact(CACHE_BLOCK_BYTES);
     blocks
         .map(|block| {
             chain = xxh3_64_with_seed(block, chain);
