--- a/standins/src/demo.rs
+++ b/standins/src/demo.rs
@@ -218,7 +218,7 @@
 ///
 /// If the entry refuses it.
 pub async fn apply_config(fleet: &Fleet, text: &str) {
-    let uri = format!("http://{}/admin/v1/config", fleet.entries[0].admin);
+    let uri = format!("http://{}/admin/v1/config", fleet.entries[0].admin_address);
     let client = Client::builder(TokioExecutor::new()).build_http::<Full<Bytes>>();
     let request = Request::put(uri)
         .header("authorization", format!("Bearer {ADMIN_KEY}"))
--- a/standins/src/fleet.rs
+++ b/standins/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A whole small fleet in one process: each daemon its own one-thread loop.
+//! Runs a small fleet in one process. Each daemon has a thread with a single-threaded runtime.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -24,42 +24,42 @@
 use crate::plain_server::PlainServer;
 use crate::store_server::StoreServer;
 
-/// Shared key of a test fleet.
+/// Peer key that all daemons of a test fleet share.
 pub const PEER_KEY: &str = "a test fleet's shared key";
 
-/// Operators' key of a test fleet.
+/// Key for the admin API of a test fleet.
 pub const ADMIN_KEY: &str = "demo-operator";
 
-/// Size and make of a fleet.
+/// Size and settings of a fleet.
 #[derive(Clone, Debug)]
 pub struct FleetSpec {
-    /// Entries.
+    /// Number of entries.
     pub entries: usize,
-    /// Engines, each with its agent.
+    /// Number of engines. Each engine has an agent.
     pub engines: usize,
-    /// Speeds and sizes of the engines.
+    /// Speed and memory of each engine.
     pub engine: EngineSpec,
-    /// Engine service.
+    /// Name of the service that the engines provide.
     pub service: String,
-    /// Model that each engine has loaded.
+    /// Model that each engine loads.
     pub model: String,
-    /// Plain service.
+    /// Name of the plain service.
     pub plain: String,
-    /// Failure domains, over which hosts are spread.
+    /// Failure domains, which hosts are assigned to in rotation.
     pub failure_domains: Vec<String>,
-    /// Lag of the platform's host list.
+    /// Time until a change shows in the platform's host list.
     pub host_lag: Duration,
-    /// Seed of the stand-ins.
+    /// Seed of the first engine; each further engine uses the next number.
     pub seed: u64,
-    /// How the entries choose targets.
+    /// Policy by which the entries choose targets.
     pub policy: RoutePolicy,
-    /// Tokens of prefill that agents give in one piece.
+    /// Prompt tokens that an agent submits to its engine in one prefill piece.
     pub piece_tokens: u64,
-    /// Tokens of prefill that agents keep at the engine at a time.
+    /// Prompt tokens that an agent keeps submitted to its engine at a time.
     pub prefill_tokens: u64,
 }
 
-/// A daemon on a thread of its own.
+/// A daemon that runs on a dedicated thread.
 #[derive(Debug)]
 pub struct DaemonThread {
     stop: Option<oneshot::Sender<()>>,
@@ -73,63 +73,64 @@
         W: Future<Output = Duration>,
         A: Send + 'static,
     {
-        let (address_in, address) = sync_channel(1);
+        let (address_sender, address_receiver) = sync_channel(1);
         let (stop, stopped) = oneshot::channel();
         let body = move || {
             let runtime = Builder::new_current_thread().enable_all().build().expect("runtime");
-            runtime.block_on(work(address_in, stopped))
+            runtime.block_on(work(address_sender, stopped))
         };
         let thread = std::thread::Builder::new().name(name.to_owned()).spawn(body);
         let thread = Some(thread.expect("thread"));
-        (DaemonThread { stop: Some(stop), thread }, address)
+        (DaemonThread { stop: Some(stop), thread }, address_receiver)
     }
 
-    /// Asks for a planned stop.
-    pub fn ask_stop(&mut self) {
+    /// Requests a graceful shutdown.
+    pub fn request_stop(&mut self) {
         if let Some(stop) = self.stop.take() {
             let _ = stop.send(());
         }
     }
 
-    /// Asks for a planned stop and waits for its end. Returns the longest
-    /// turn of the daemon's loop.
+    /// Requests a graceful shutdown and waits until the daemon exits.
+    ///
+    /// Returns the duration of the longest iteration of the daemon's event loop.
     pub fn stop(&mut self) -> Duration {
-        self.ask_stop();
+        self.request_stop();
         let thread = self.thread.take();
         thread.and_then(|thread| thread.join().ok()).unwrap_or_default()
     }
 }
 
-/// An entry and its addresses.
+/// A running entry and its addresses.
 #[derive(Debug)]
 pub struct EntryThread {
-    /// Where callers go.
+    /// Address that serves callers.
     pub callers: SocketAddr,
-    /// Where operators go.
-    pub admin: SocketAddr,
+    /// Address of the admin API.
+    pub admin_address: SocketAddr,
     /// The daemon.
     pub daemon: DaemonThread,
 }
 
-/// An agent and its address.
+/// A running agent and its address.
 #[derive(Debug)]
 pub struct AgentThread {
     /// Name of the host.
     pub name: String,
-    /// Where entries go.
+    /// Address that entries connect to.
     pub address: SocketAddr,
     /// The daemon.
     pub daemon: DaemonThread,
 }
 
-/// All of a fleet.
+/// A running fleet with the platform's store and host list.
 #[derive(Debug)]
 pub struct Fleet {
-    /// Entries.
+    /// The entries.
     pub entries: Vec<EntryThread>,
-    /// Agents, those of engines first.
+    /// The agents: those of the engines in order, then that of the plain service.
     pub agents: Vec<AgentThread>,
-    /// Engines.
+    /// The engines.
     pub engines: Vec<EngineServer>,
     /// The plain service.
     pub plain: PlainServer,
@@ -139,11 +140,11 @@
     pub hosts: HostServer,
 }
 
-/// Starts an entry.
+/// Starts an entry on free loopback ports.
 ///
 /// # Panics
 ///
-/// If the machine gives no port.
+/// If no thread or port is available.
 #[must_use]
 pub fn start_entry(
     name: &str,
@@ -167,21 +168,21 @@
         max_connections: 4096,
         drain_limit: Duration::from_secs(60),
     };
-    let (daemon, address) = DaemonThread::spawn(name, move |address, stop| async move {
-        let daemon = EntryDaemon::bind(settings).await.expect("ports");
+    let (daemon, address) = DaemonThread::spawn(name, move |sender, stop| async move {
+        let daemon = EntryDaemon::bind(settings).await.expect("free loopback ports");
         let daemon = daemon.with_tuning(EntryTuning { policy, ..EntryTuning::default() });
-        address.send(daemon.addresses().expect("addresses")).expect("starter");
-        daemon.run(wait(stop)).await.expect("entry")
+        sender.send(daemon.addresses().expect("addresses")).expect("starter");
+        daemon.run(stop_requested(stop)).await.expect("entry")
     });
-    let (callers, admin) = address.recv().expect("entry");
-    EntryThread { callers, admin, daemon }
+    let (callers, admin_address) = address.recv().expect("entry");
+    EntryThread { callers, admin_address, daemon }
 }
 
-/// Starts an agent.
+/// Starts an agent on free loopback ports.
 ///
 /// # Panics
 ///
-/// If the machine gives no port.
+/// If no thread or port is available.
 #[must_use]
 pub fn start_agent(
     name: &str,
@@ -201,24 +202,24 @@
         prefill_tokens: spec.prefill_tokens,
         drain_limit: Duration::from_secs(60),
     };
-    let (daemon, address) = DaemonThread::spawn(name, move |address, stop| async move {
-        let daemon = AgentDaemon::bind(settings).await.expect("port");
-        address.send(daemon.addresses().expect("addresses").0).expect("starter");
-        daemon.run(wait(stop)).await.expect("agent")
+    let (daemon, address) = DaemonThread::spawn(name, move |sender, stop| async move {
+        let daemon = AgentDaemon::bind(settings).await.expect("free loopback ports");
+        sender.send(daemon.addresses().expect("addresses").0).expect("starter");
+        daemon.run(stop_requested(stop)).await.expect("agent")
     });
     let address = address.recv().expect("agent");
     AgentThread { name: name.to_owned(), address, daemon }
 }
 
-async fn wait(stop: oneshot::Receiver<()>) {
+async fn stop_requested(stop: oneshot::Receiver<()>) {
     if stop.await.is_err() {
-        // Nobody can ask any more: run on until the process ends.
+        // The handle is gone, so no stop request can come: run until the process exits.
         std::future::pending::<()>().await;
     }
 }
 
 impl Fleet {
-    /// Starts everything.
+    /// Starts the store, the host list, the services, the agents and the entries.
     #[must_use]
     pub fn start(spec: &FleetSpec) -> Self {
         let store = StoreServer::start();
@@ -244,12 +245,12 @@
         let mut entries = Vec::new();
         for index in 0..spec.entries {
             let name = format!("entry-{index}");
-            let (store, list) = (store.server.address, hosts.server.address);
-            let entry = start_entry(&name, &domain(index), store, list, spec.policy.clone());
+            let (store, host_list) = (store.server.address, hosts.server.address);
+            let entry = start_entry(&name, &domain(index), store, host_list, spec.policy.clone());
             hosts.set(HostRecord {
                 name: name.into(),
                 role: HostRole::Entry,
-                address: entry.admin.to_string().into(),
+                address: entry.admin_address.to_string().into(),
                 failure_domain: domain(index).into(),
                 state: HostState::Live,
             });
@@ -258,14 +259,15 @@
         Fleet { entries, agents, engines, plain, store, hosts }
     }
 
-    /// Tokens that engines hold for runs and reservations.
+    /// Returns the number of tokens for which engines hold memory, for runs and reservations.
     #[must_use]
     pub fn held_tokens(&self) -> u64 {
         self.engines.iter().map(EngineServer::used).sum()
     }
 
-    /// Stops all daemons as planned, entries first. Returns the longest turn
-    /// of any loop.
+    /// Stops all daemons gracefully, entries first.
+    ///
+    /// Returns the duration of the longest iteration of any daemon's event loop.
     pub fn stop(&mut self) -> Duration {
         let entries = self.entries.iter_mut().map(|entry| entry.daemon.stop());
         let longest = entries.max().unwrap_or_default();
@@ -274,7 +276,7 @@
     }
 }
 
-/// Lists an agent's host as a target of a service.
+/// Adds an agent's host to the host list as a target of a service.
 pub fn list_target(hosts: &HostServer, agent: &AgentThread, service: &str, domain: &str) {
     hosts.set(HostRecord {
         name: agent.name.as_str().into(),
--- a/standins/src/host_server.rs
+++ b/standins/src/host_server.rs
@@ -1,4 +1,4 @@
-//! The platform's list of hosts, which lags.
+//! A stand-in for the platform's host list. Changes show after a lag.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -15,11 +15,11 @@
     lag: Duration,
 }
 
-/// The list, and what a test may do to it.
+/// A running host list that a test can change.
 #[derive(Debug)]
 pub struct HostServer {
     state: Arc<Mutex<ListState>>,
-    /// Its thread.
+    /// The server thread.
     pub server: ServerThread,
 }
 
@@ -28,23 +28,23 @@
 }
 
 impl HostServer {
-    /// Starts an empty list whose changes show after `lag`.
+    /// Starts an empty list in which each change shows after `lag`.
     #[must_use]
     pub fn start(lag: Duration) -> Self {
         let state = ListState { hosts: BTreeMap::new(), revision: 0, lag };
         let state = Arc::new(Mutex::new(state));
-        let inner = state.clone();
+        let shared = state.clone();
         let server = ServerThread::spawn("hosts", None, move |listener| {
             serve_http(listener, move |request| {
                 let after = query_u64(&request, "after").unwrap_or(0);
-                let delta = changes(&inner, after);
+                let delta = visible_changes(&shared, after);
                 async move { Some(reply_json(&delta)) }
             })
         });
         HostServer { state, server }
     }
 
-    /// Lists a host, or changes what is listed of it.
+    /// Adds a host to the list or replaces its record.
     pub fn set(&self, host: HostRecord) {
         let mut state = lock(&self.state);
         state.revision += 1;
@@ -52,22 +52,22 @@
         state.hosts.insert(host.name.to_string(), (revision, Instant::now(), host));
     }
 
-    /// Changes the state of a listed host.
-    pub fn set_state(&self, name: &str, to: HostState) {
+    /// Changes the state of a host; does nothing if the host is not listed.
+    pub fn set_state(&self, name: &str, new_state: HostState) {
         let found = lock(&self.state).hosts.get(name).map(|(_, _, host)| host.clone());
         if let Some(host) = found {
-            self.set(HostRecord { state: to, ..host });
+            self.set(HostRecord { state: new_state, ..host });
         }
     }
 }
 
-/// Changes after a revision that are old enough to show, in order.
-fn changes(state: &Mutex<ListState>, after: u64) -> HostDelta {
+/// Returns the changes after a revision in order, up to the first that is younger than the lag.
+fn visible_changes(state: &Mutex<ListState>, after: u64) -> HostDelta {
     let state = lock(state);
-    let mut newer: Vec<_> = state.hosts.values().filter(|(at, _, _)| *at > after).collect();
-    newer.sort_by_key(|(at, _, _)| *at);
+    let mut changed: Vec<_> = state.hosts.values().filter(|(at, _, _)| *at > after).collect();
+    changed.sort_by_key(|(at, _, _)| *at);
     let mut delta = HostDelta { revision: after, hosts: Vec::new() };
-    for (revision, at, host) in newer {
+    for (revision, at, host) in changed {
         if at.elapsed() < state.lag {
             break;
         }
--- a/standins/src/plain_server.rs
+++ b/standins/src/plain_server.rs
@@ -1,4 +1,4 @@
-//! A plain service that counts how often it ran each order.
+//! A stand-in for a plain service. It counts how often it executes each order.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,33 +11,33 @@
 use hyper::{Request, StatusCode};
 use serde::Deserialize;
 
-use crate::serve::{HeldPort, Reply, ServerThread, reply, reply_json, serve_http};
+use crate::serve::{ReservedPort, Reply, ServerThread, reply, reply_json, serve_http};
 
-/// Time that a call takes.
-const WORK: Duration = Duration::from_millis(5);
+/// Time that the service takes to process a call.
+const PROCESSING_TIME: Duration = Duration::from_millis(5);
 
-/// How often each order was run.
+/// Number of executions of each order, by the order's name.
 pub type OrderCounts = BTreeMap<String, u64>;
 
-/// What a test does to the service.
+/// Faults that a test injects into the service.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PlainFault {
-    /// Calls run, and their answers are lost.
+    /// The service executes each order, then closes the connection without a response.
     pub loses_answers: bool,
-    /// Calls run only after this time.
+    /// Additional delay before each order is executed.
     pub delay: Duration,
 }
 
-/// The service, and what a test may do to it.
+/// A running plain service with counters and fault injection.
 #[derive(Debug)]
 pub struct PlainServer {
-    /// How often each order was run.
+    /// Number of executions of each order.
     pub counts: Arc<Mutex<OrderCounts>>,
-    /// Calls that have arrived, whether they have run or not.
+    /// Number of calls received, whether they were executed or not.
     pub arrived: Arc<AtomicU64>,
-    /// Faults in force.
+    /// Faults that apply to calls from now on.
     pub fault: Arc<Mutex<PlainFault>>,
-    /// Its thread.
+    /// The server thread.
     pub server: ServerThread,
 }
 
@@ -53,28 +53,28 @@
         let counts = Arc::new(Mutex::new(OrderCounts::new()));
         let fault = Arc::new(Mutex::new(PlainFault::default()));
         let arrived = Arc::new(AtomicU64::new(0));
-        let (inner, faults, calls) = (counts.clone(), fault.clone(), arrived.clone());
-        let server = spawn(inner, faults, calls, None);
+        let (shared_counts, shared_fault, calls) = (counts.clone(), fault.clone(), arrived.clone());
+        let server = spawn(shared_counts, shared_fault, calls, None);
         PlainServer { counts, arrived, fault, server }
     }
 
-    /// Stops the service; its port refuses connections.
+    /// Stops the service and reserves its port, which then refuses connections.
     #[must_use]
-    pub fn refuse(&mut self) -> HeldPort {
-        let held = HeldPort::new(self.server.address);
+    pub fn refuse(&mut self) -> ReservedPort {
+        let reserved = ReservedPort::new(self.server.address);
         self.server.stop();
-        held
+        reserved
     }
 
-    /// Starts the service again, on the port that it had.
-    pub fn restart(&mut self, held: HeldPort) {
+    /// Starts the service again on its previous port.
+    pub fn restart(&mut self, reserved: ReservedPort) {
         let (counts, fault) = (self.counts.clone(), self.fault.clone());
-        self.server = spawn(counts, fault, self.arrived.clone(), Some(held.address));
-        // Held until the server listens again.
-        drop(held);
+        self.server = spawn(counts, fault, self.arrived.clone(), Some(reserved.address));
+        // The port stays reserved until the server listens on it again.
+        drop(reserved);
     }
 
-    /// How often an order was run.
+    /// Returns how often an order was executed.
     #[must_use]
     pub fn times_run(&self, order: &str) -> u64 {
         self.counts.lock().map_or(0, |counts| counts.get(order).copied().unwrap_or(0))
@@ -102,7 +102,7 @@
 ) -> Option<Reply> {
     let body = request.into_body().collect().await.ok()?.to_bytes();
     let fault = fault.lock().map(|fault| *fault).unwrap_or_default();
-    tokio::time::sleep(WORK + fault.delay).await;
+    tokio::time::sleep(PROCESSING_TIME + fault.delay).await;
     let Ok(order) = serde_json::from_slice::<OrderBody>(&body) else {
         return Some(reply(StatusCode::BAD_REQUEST, "no order"));
     };
--- a/standins/src/serve.rs
+++ b/standins/src/serve.rs
@@ -1,4 +1,4 @@
-//! Serving HTTP from a thread of its own.
+//! HTTP servers of the stand-ins, each on a dedicated thread.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -19,13 +19,13 @@
 use tokio::sync::oneshot;
 use tokio::task::{LocalSet, spawn_local};
 
-/// Body of a stand-in's answer.
+/// Body of a stand-in's response.
 pub type ReplyBody = UnsyncBoxBody<Bytes, Infallible>;
 
-/// A stand-in's answer.
+/// A stand-in's response.
 pub type Reply = Response<ReplyBody>;
 
-/// A whole answer.
+/// Returns a response with a complete body.
 #[must_use]
 pub fn reply(status: StatusCode, body: impl Into<Bytes>) -> Reply {
     let mut response = Response::new(Full::new(body.into()).boxed_unsync());
@@ -33,13 +33,13 @@
     response
 }
 
-/// A whole answer in JSON.
+/// Returns a response with status 200 and a JSON body.
 #[must_use]
 pub fn reply_json<T: serde::Serialize>(value: &T) -> Reply {
     reply(StatusCode::OK, serde_json::to_vec(value).unwrap_or_default())
 }
 
-/// The value of a parameter of a request's query.
+/// Returns the value of a query parameter; `None` if it is absent or not an unsigned number.
 #[must_use]
 pub fn query_u64(request: &Request<Incoming>, name: &str) -> Option<u64> {
     let query = request.uri().query()?;
@@ -47,35 +47,36 @@
     pair?.parse().ok()
 }
 
-/// A thread that serves until its handle is dropped.
+/// A server thread that stops when its handle is dropped.
 #[derive(Debug)]
 pub struct ServerThread {
-    /// Where it listens.
+    /// Address that the server listens on.
     pub address: SocketAddr,
     stop: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl ServerThread {
-    /// Runs `work` on a thread of its own, with a listener on loopback. The
-    /// listener takes `address` where one is given.
+    /// Runs `work` on a dedicated thread with a listener on loopback.
+    ///
+    /// The listener binds `address`, or a free port if it is `None`.
     ///
     /// # Panics
     ///
-    /// If the machine gives no thread or no port.
+    /// If no thread or port is available.
     pub fn spawn<F, W>(name: &str, address: Option<SocketAddr>, work: F) -> Self
     where
         F: FnOnce(TcpListener) -> W + Send + 'static,
         W: Future<Output = ()> + 'static,
     {
-        let (address_in, address_out) = sync_channel(1);
+        let (address_sender, address_receiver) = sync_channel(1);
         let (stop, stopped) = oneshot::channel::<()>();
-        let wanted = address.unwrap_or_else(|| SocketAddr::from(([127, 0, 0, 1], 0)));
+        let bind_address = address.unwrap_or_else(|| SocketAddr::from(([127, 0, 0, 1], 0)));
         let body = move || {
             let runtime = Builder::new_current_thread().enable_all().build().expect("runtime");
             runtime.block_on(LocalSet::new().run_until(async move {
-                let listener = listen(wanted).await;
-                address_in.send(listener.local_addr().expect("address")).expect("starter");
+                let listener = listen(bind_address).await;
+                address_sender.send(listener.local_addr().expect("address")).expect("starter");
                 tokio::select! {
                     () = work(listener) => {}
                     _ = stopped => {}
@@ -84,11 +85,11 @@
         };
         let thread = std::thread::Builder::new().name(name.to_owned()).spawn(body);
         let thread = thread.expect("thread");
-        let address = address_out.recv().expect("the thread listens");
+        let address = address_receiver.recv().expect("the thread listens");
         ServerThread { address, stop: Some(stop), thread: Some(thread) }
     }
 
-    /// Ends the thread and waits for it.
+    /// Stops the server and joins its thread.
     pub fn stop(&mut self) {
         if let Some(stop) = self.stop.take() {
             let _ = stop.send(());
@@ -99,25 +100,27 @@
     }
 }
 
-/// A port that is held and refuses connections, so that no other program gets
-/// it meanwhile.
+/// A bound port without a listener.
+///
+/// It refuses connections and no other process can bind it.
 #[derive(Debug)]
-pub struct HeldPort {
-    /// The address.
+pub struct ReservedPort {
+    /// Address of the port.
     pub address: SocketAddr,
     _socket: TcpSocket,
 }
 
-impl HeldPort {
-    /// Holds the port of a server that still listens there, so that there is no moment
-    /// at which somebody else could get it.
+impl ReservedPort {
+    /// Binds the port of a server that still listens on it.
+    ///
+    /// Because both sockets overlap in time, no other process can bind the port in between.
     ///
     /// # Panics
     ///
-    /// If it is not a port of a server of this process.
+    /// If the port does not belong to a server of this process.
     #[must_use]
     pub fn new(address: SocketAddr) -> Self {
-        HeldPort { address, _socket: bind_shared(address).expect("the port") }
+        ReservedPort { address, _socket: bind_reuse_port(address).expect("a port of this process") }
     }
 }
 
@@ -127,31 +130,34 @@
     }
 }
 
-/// Binds a port that the server and its holder may have at the same time, and nobody
-/// else.
-fn bind_shared(address: SocketAddr) -> std::io::Result<TcpSocket> {
+/// Binds a port with `SO_REUSEPORT`, so that a server and a [`ReservedPort`] can share it.
+///
+/// Sockets without the option cannot bind the port.
+fn bind_reuse_port(address: SocketAddr) -> std::io::Result<TcpSocket> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseport(true)?;
     socket.bind(address)?;
     Ok(socket)
 }
 
-/// Connections that may wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const BACKLOG: u32 = 1_024;
 
-/// Listens on an address, which may be one that was just given up.
+/// Listens on an address and retries if it is not free yet, as after a server's stop.
 async fn listen(address: SocketAddr) -> TcpListener {
-    const TRIES: u32 = 50;
-    for _ in 0..TRIES {
-        if let Ok(listener) = bind_shared(address).and_then(|socket| socket.listen(BACKLOG)) {
+    const MAX_ATTEMPTS: u32 = 50;
+    for _ in 0..MAX_ATTEMPTS {
+        if let Ok(listener) = bind_reuse_port(address).and_then(|socket| socket.listen(BACKLOG)) {
             return listener;
         }
         tokio::time::sleep(std::time::Duration::from_millis(20)).await;
     }
-    panic!("{address} can not be listened on");
+    panic!("failed to listen on {address}");
 }
 
-/// Serves HTTP on a listener until the task is ended.
+/// Serves HTTP on a listener until the future is dropped.
+///
+/// The connection is closed without a response if `handle` returns `None`.
 pub async fn serve_http<H, R>(listener: TcpListener, handle: H)
 where
     H: Fn(Request<Incoming>) -> R + 'static,
@@ -166,9 +172,9 @@
         let handle = handle.clone();
         spawn_local(async move {
             let service = service_fn(move |request| {
-                let answer = handle(request);
-                // Without an answer the connection breaks off.
-                async move { answer.await.ok_or("no answer") }
+                let reply = handle(request);
+                // An error makes hyper close the connection.
+                async move { reply.await.ok_or("no response") }
             });
             let _ = hyper::server::conn::http1::Builder::new()
                 .serve_connection(TokioIo::new(stream), service)
--- a/standins/src/store_server.rs
+++ b/standins/src/store_server.rs
@@ -1,5 +1,6 @@
-//! The platform's store: objects with versions, conditional updates, watches,
-//! rate limits and outages.
+//! A stand-in for the platform's store.
+//!
+//! Supports versioned objects, conditional updates, watches, rate limits and outages.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -15,85 +16,85 @@
 
 use crate::serve::{Reply, ServerThread, query_u64, reply, serve_http};
 
-/// What a test does to the store.
+/// Faults that a test injects into the store.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StoreFault {
-    /// No call is answered.
+    /// The store closes every call without a response.
     pub outage: bool,
-    /// Answers to so many writes are lost after they took effect.
+    /// Number of upcoming writes that take effect but get no response.
     pub lost_answers: u32,
-    /// Time that each call takes.
+    /// Additional delay of each call.
     pub delay: Duration,
 }
 
-/// Calls that the store has seen.
+/// Numbers of calls that the store has received.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StoreCounts {
-    /// Reads, a waiting watch counting as one.
+    /// Reads. A watch that waits counts as one.
     pub reads: u64,
     /// Writes.
     pub writes: u64,
-    /// Calls over the rate.
+    /// Calls refused because they exceeded the rate limit.
     pub limited: u64,
 }
 
 #[derive(Debug)]
-struct RateBucket {
+struct TokenBucket {
     rate: f64,
-    credit: f64,
-    filled: Instant,
+    tokens: f64,
+    refilled_at: Instant,
 }
 
-impl RateBucket {
+impl TokenBucket {
     fn new(rate: f64) -> Self {
-        RateBucket { rate, credit: rate, filled: Instant::now() }
+        TokenBucket { rate, tokens: rate, refilled_at: Instant::now() }
     }
 
-    fn take(&mut self) -> bool {
-        let earned = self.filled.elapsed().as_secs_f64() * self.rate;
-        self.credit = (self.credit + earned).min(self.rate);
-        self.filled = Instant::now();
-        if self.credit < 1.0 {
+    fn try_take(&mut self) -> bool {
+        let refill = self.refilled_at.elapsed().as_secs_f64() * self.rate;
+        self.tokens = (self.tokens + refill).min(self.rate);
+        self.refilled_at = Instant::now();
+        if self.tokens < 1.0 {
             return false;
         }
-        self.credit -= 1.0;
+        self.tokens -= 1.0;
         true
     }
 }
 
-/// What a store holds; a copy of it is what it may come back from.
+/// Content of a store at one time, from which [`StoreServer::restore`] can restore it.
 #[derive(Clone, Debug, Default)]
-pub struct StoreCopy {
+pub struct StoreSnapshot {
     objects: BTreeMap<String, (u64, Bytes)>,
     revision: u64,
 }
 
 #[derive(Debug)]
 struct StoreState {
-    /// Times that it came back from a copy.
+    /// Number of times that the store was restored from a snapshot.
     epoch: u64,
-    content: StoreCopy,
+    content: StoreSnapshot,
     fault: StoreFault,
     counts: StoreCounts,
-    reads: RateBucket,
-    writes: RateBucket,
+    reads: TokenBucket,
+    writes: TokenBucket,
 }
 
-/// The store, and what a test may do to it.
+/// A running store with fault injection.
 #[derive(Debug)]
 pub struct StoreServer {
     state: Arc<Mutex<StoreState>>,
-    /// Its thread.
+    /// The server thread.
     pub server: ServerThread,
 }
 
-/// How often a waiting read looks whether the store has come back from a copy.
-const LOOK_STEP: Duration = Duration::from_millis(50);
+/// Interval at which a waiting read checks whether the store was restored from a snapshot.
+const RESTORE_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Reads a second.
+/// Reads allowed per second.
 const READ_RATE: f64 = 2_000.0;
 
-/// Writes a second.
+/// Writes allowed per second.
 const WRITE_RATE: f64 = 100.0;
 
 fn lock(state: &Mutex<StoreState>) -> MutexGuard<'_, StoreState> {
@@ -106,45 +107,47 @@
     pub fn start() -> Self {
         let state = Arc::new(Mutex::new(StoreState {
             epoch: 0,
-            content: StoreCopy::default(),
+            content: StoreSnapshot::default(),
             fault: StoreFault::default(),
             counts: StoreCounts::default(),
-            reads: RateBucket::new(READ_RATE),
-            writes: RateBucket::new(WRITE_RATE),
+            reads: TokenBucket::new(READ_RATE),
+            writes: TokenBucket::new(WRITE_RATE),
         }));
-        let inner = state.clone();
+        let shared = state.clone();
         let server = ServerThread::spawn("store", None, move |listener| {
             let changed = std::rc::Rc::new(Notify::new());
-            serve_http(listener, move |request| handle(inner.clone(), changed.clone(), request))
+            serve_http(listener, move |request| handle(shared.clone(), changed.clone(), request))
         });
         StoreServer { state, server }
     }
 
-    /// Puts faults in force.
+    /// Replaces the faults that apply to calls from now on.
     pub fn set_fault(&self, fault: StoreFault) {
         lock(&self.state).fault = fault;
     }
 
-    /// Calls seen so far.
+    /// Returns the numbers of calls received so far.
     #[must_use]
     pub fn counts(&self) -> StoreCounts {
         lock(&self.state).counts
     }
 
-    /// What it holds now.
+    /// Returns a snapshot of the present content.
     #[must_use]
-    pub fn to_copy(&self) -> StoreCopy {
+    pub fn to_copy(&self) -> StoreSnapshot {
         lock(&self.state).content.clone()
     }
 
-    /// Comes back from a copy: what was written since is gone, and waiting reads are cut.
-    pub fn restore(&self, copy: StoreCopy) {
+    /// Restores the content of a snapshot.
+    ///
+    /// Later writes are lost, and waiting reads end without a response.
+    pub fn restore(&self, snapshot: StoreSnapshot) {
         let mut state = lock(&self.state);
         state.epoch += 1;
-        state.content = copy;
+        state.content = snapshot;
     }
 
-    /// Overwrites an object, as a writer of another version would.
+    /// Overwrites an object without a condition, as a writer of another software version would.
     pub fn overwrite(&self, name: &str, content: &[u8]) {
         let mut state = lock(&self.state);
         state.content.revision += 1;
@@ -171,7 +174,7 @@
         _ => Some(reply(StatusCode::METHOD_NOT_ALLOWED, "")),
     }?;
     reply.headers_mut().insert(STORE_EPOCH, HeaderValue::from(epoch));
-    // An answer that was under way while the store came back is cut.
+    // A restore during the call discards its response.
     (lock(&state).epoch == epoch).then_some(reply)
 }
 
@@ -181,34 +184,34 @@
     name: &str,
     request: &Request<Incoming>,
 ) -> Option<Reply> {
-    if !allow(state, false) {
+    if !try_count_call(state, false) {
         return Some(reply(StatusCode::TOO_MANY_REQUESTS, "rate"));
     }
     let Some(after) = query_u64(request, "after") else {
-        return Some(show(state, name));
+        return Some(to_object_reply(state, name));
     };
     let wait = Duration::from_millis(query_u64(request, "wait_ms").unwrap_or(0));
     let until = tokio::time::Instant::now() + wait;
     let epoch = lock(state).epoch;
     loop {
-        let mut notice = std::pin::pin!(changed.notified());
-        notice.as_mut().enable();
+        let mut notified = std::pin::pin!(changed.notified());
+        notified.as_mut().enable();
         if lock(state).fault.outage || lock(state).epoch != epoch {
             return None;
         }
         if lock(state).content.objects.get(name).is_some_and(|object| object.0 > after) {
-            return Some(show(state, name));
+            return Some(to_object_reply(state, name));
         }
-        let step = until.min(tokio::time::Instant::now() + LOOK_STEP);
-        if tokio::time::timeout_at(step, notice).await.is_err() && step == until {
+        let step = until.min(tokio::time::Instant::now() + RESTORE_POLL_INTERVAL);
+        if tokio::time::timeout_at(step, notified).await.is_err() && step == until {
             return Some(reply(StatusCode::NOT_MODIFIED, ""));
         }
     }
 }
 
-fn allow(state: &Mutex<StoreState>, is_write: bool) -> bool {
+fn try_count_call(state: &Mutex<StoreState>, is_write: bool) -> bool {
     let mut state = lock(state);
-    let is_allowed = if is_write { state.writes.take() } else { state.reads.take() };
+    let is_allowed = if is_write { state.writes.try_take() } else { state.reads.try_take() };
     match (is_allowed, is_write) {
         (false, _) => state.counts.limited += 1,
         (true, true) => state.counts.writes += 1,
@@ -217,15 +220,15 @@
     is_allowed
 }
 
-fn show(state: &Mutex<StoreState>, name: &str) -> Reply {
+fn to_object_reply(state: &Mutex<StoreState>, name: &str) -> Reply {
     let state = lock(state);
     match state.content.objects.get(name) {
-        Some((version, content)) => with_version(reply(StatusCode::OK, content.clone()), *version),
+        Some((version, content)) => with_etag(reply(StatusCode::OK, content.clone()), *version),
         None => reply(StatusCode::NOT_FOUND, ""),
     }
 }
 
-fn with_version(mut reply: Reply, version: u64) -> Reply {
+fn with_etag(mut reply: Reply, version: u64) -> Reply {
     if let Ok(tag) = HeaderValue::from_str(&format!("\"{version}\"")) {
         reply.headers_mut().insert(ETAG, tag);
     }
@@ -238,7 +241,7 @@
     name: &str,
     request: Request<Incoming>,
 ) -> Option<Reply> {
-    if !allow(state, true) {
+    if !try_count_call(state, true) {
         return Some(reply(StatusCode::TOO_MANY_REQUESTS, "rate"));
     }
     let header = |name| request.headers().get(name).and_then(|value| value.to_str().ok());
@@ -251,7 +254,7 @@
     let mut state = lock(state);
     let found = state.content.objects.get(name).map_or(0, |object| object.0);
     if expected != Some(found) {
-        return Some(with_version(reply(StatusCode::PRECONDITION_FAILED, ""), found));
+        return Some(with_etag(reply(StatusCode::PRECONDITION_FAILED, ""), found));
     }
     state.content.revision += 1;
     let version = state.content.revision;
@@ -261,5 +264,5 @@
         state.fault.lost_answers -= 1;
         return None;
     }
-    Some(with_version(reply(StatusCode::OK, ""), version))
+    Some(with_etag(reply(StatusCode::OK, ""), version))
 }
