--- a/standins/src/caller.rs
+++ b/standins/src/caller.rs
@@ -1,4 +1,4 @@
-//! A plain caller for tests: one request, and its answer as it comes.
+//! A minimal HTTP client for tests. Each request uses a new connection.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,14 +12,13 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 
-/// Time after which a test's call counts as hung.
-pub const HUNG: Duration = Duration::from_secs(60);
+/// Timeout of a test's call.
+pub const CALL_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A request under way on a connection of its own. Dropping it closes the
-/// connection.
+/// A request in progress on a dedicated connection. Dropping it closes the connection.
 #[derive(Debug)]
 pub struct OpenCall {
-    /// Head of the answer.
+    /// Response whose head has arrived.
     pub response: Response<Incoming>,
     connection: JoinHandle<()>,
 }
@@ -30,35 +29,35 @@
     }
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Clone, Debug)]
 pub struct WholeAnswer {
     /// HTTP status.
     pub status: u16,
-    /// Header with the verdict.
+    /// Header `shalelane-verdict`, empty if absent.
     pub verdict: String,
-    /// Header with the request's id.
+    /// Header `x-request-id`, empty if absent.
     pub request_id: String,
-    /// Header that tells when to come back.
+    /// Header `retry-after`, empty if absent.
     pub retry_after: String,
-    /// The body.
+    /// Body of the response.
     pub body: Bytes,
 }
 
 impl WholeAnswer {
-    /// The body as JSON.
+    /// Parses the body as JSON. Returns `Null` if it is not valid JSON.
     #[must_use]
     pub fn json(&self) -> Value {
         serde_json::from_slice(&self.body).unwrap_or_default()
     }
 
-    /// Code of the error, empty where there is none.
+    /// Returns the error code, empty if there is none.
     #[must_use]
     pub fn code(&self) -> String {
         self.json()["error"]["code"].as_str().unwrap_or("").to_owned()
     }
 
-    /// Text of all events of a stream.
+    /// Returns the concatenated text of all events of a stream.
     #[must_use]
     pub fn stream_text(&self) -> String {
         let body = String::from_utf8_lossy(&self.body).into_owned();
@@ -67,20 +66,20 @@
         values.filter_map(|value| Some(value["choices"][0]["text"].as_str()?.to_owned())).collect()
     }
 
-    /// Returns true where a stream came to its end.
+    /// Returns `true` if a stream ended with its `[DONE]` event.
     #[must_use]
     pub fn is_done(&self) -> bool {
         self.body.ends_with(b"data: [DONE]\n\n")
     }
 }
 
-/// Sends a request and waits for the head of the answer.
+/// Sends a request and waits for the head of the response.
 ///
 /// # Errors
 ///
-/// No connection, or one that broke off.
+/// If the connection fails or the head does not arrive within [`CALL_TIMEOUT`].
 pub async fn open(address: SocketAddr, request: Request<Full<Bytes>>) -> Result<OpenCall, String> {
-    let work = async {
+    let exchange = async {
         let stream = TcpStream::connect(address).await.map_err(|error| error.to_string())?;
         let handshake = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await;
         let (mut sender, connection) = handshake.map_err(|error| error.to_string())?;
@@ -90,14 +89,14 @@
         let response = sender.send_request(request).await.map_err(|error| error.to_string())?;
         Ok(OpenCall { response, connection })
     };
-    tokio::time::timeout(HUNG, work).await.map_err(|_| "hung".to_owned())?
+    tokio::time::timeout(CALL_TIMEOUT, exchange).await.map_err(|_| "hung".to_owned())?
 }
 
 /// Reads the rest of an answer.
 ///
 /// # Errors
 ///
-/// The connection broke off.
+/// If the connection fails or the body does not end within [`CALL_TIMEOUT`].
 pub async fn finish(mut call: OpenCall) -> Result<WholeAnswer, String> {
     let header = |name: &str| {
         let value = call.response.headers().get(name).and_then(|value| value.to_str().ok());
@@ -106,22 +105,23 @@
     let (verdict, request_id, retry_after) =
         (header("shalelane-verdict"), header("x-request-id"), header("retry-after"));
     let status = call.response.status().as_u16();
-    let body = tokio::time::timeout(HUNG, call.response.body_mut().collect()).await;
+    let body = tokio::time::timeout(CALL_TIMEOUT, call.response.body_mut().collect()).await;
     let body = body.map_err(|_| "hung".to_owned())?.map_err(|error| error.to_string())?;
     Ok(WholeAnswer { status, verdict, request_id, retry_after, body: body.to_bytes() })
 }
 
-/// Reads the next part of a stream.
+/// Reads the next chunk of a stream. Returns `None` at its end, on failure and on time-out.
 pub async fn next_part(call: &mut OpenCall) -> Option<Bytes> {
-    let frame = tokio::time::timeout(HUNG, call.response.body_mut().frame()).await.ok()??;
+    let frame =
+        tokio::time::timeout(CALL_TIMEOUT, call.response.body_mut().frame()).await.ok()??;
     frame.ok()?.into_data().ok()
 }
 
-/// Makes a request and reads the whole answer.
+/// Sends a request and reads the complete answer.
 ///
 /// # Errors
 ///
-/// No connection, or one that broke off.
+/// If the connection fails, or the head or the body does not arrive within [`CALL_TIMEOUT`].
 pub async fn call(
     address: SocketAddr,
     request: Request<Full<Bytes>>,
@@ -129,11 +129,11 @@
     finish(open(address, request).await?).await
 }
 
-/// A request with a key and a body.
+/// Builds a request with an API key and a body.
 ///
 /// # Panics
 ///
-/// If the parts make no request.
+/// If the method or the path is malformed.
 #[must_use]
 pub fn request(
     method: &str,
@@ -150,16 +150,16 @@
         .expect("a well-formed request")
 }
 
-/// A streamed completion of the demo's model, for one of its accounts.
+/// Builds a request for a streamed completion by the demo's model, with an account's key.
 #[must_use]
-pub fn completion(account: &str, prompt: &str, answer: u64) -> Request<Full<Bytes>> {
+pub fn completion(account: &str, prompt: &str, max_tokens: u64) -> Request<Full<Bytes>> {
     let body = serde_json::json!({
-        "model": "canal-8b", "prompt": prompt, "max_tokens": answer, "stream": true,
+        "model": "canal-8b", "prompt": prompt, "max_tokens": max_tokens, "stream": true,
     });
     request("POST", "/v1/completions", &format!("demo-{account}"), body.to_string())
 }
 
-/// An order to the demo's plain service.
+/// Builds an order to the demo's plain service.
 #[must_use]
 pub fn order(name: &str) -> Request<Full<Bytes>> {
     let body = serde_json::json!({"order": name});
--- a/standins/src/lib.rs
+++ b/standins/src/lib.rs
@@ -1,8 +1,7 @@
-//! Small stand-ins for the systems round shalelane, and its load tool.
+//! Stand-ins for the systems around shalelane, load generators and measurements.
 //!
-//! The product never depends on this crate. Each stand-in serves its
-//! published protocol on loopback, from a thread of its own, and has a handle
-//! by which a test makes it fail.
+//! The product never depends on this crate. Each stand-in serves its published protocol on loopback
+//! from a dedicated thread, and has a handle through which tests inject faults.
 
 pub mod caller;
 pub mod chaos;
--- a/standins/src/plain_server.rs
+++ b/standins/src/plain_server.rs
@@ -11,7 +11,7 @@
 use hyper::{Request, StatusCode};
 use serde::Deserialize;
 
-use crate::serve::{ReservedPort, Reply, ServerThread, reply, reply_json, serve_http};
+use crate::serve::{Reply, ReservedPort, ServerThread, reply, reply_json, serve_http};
 
 /// Time that the service takes to process a call.
 const PROCESSING_TIME: Duration = Duration::from_millis(5);
--- a/standins/src/proxy.rs
+++ b/standins/src/proxy.rs
@@ -11,81 +11,82 @@
 
 use crate::serve::ServerThread;
 
-/// Bytes moved at a time.
+/// Size of the copy buffer in bytes.
 const BUFFER: usize = 64 * 1024;
 
-/// What the proxy does to the traffic.
+/// Faults that the proxy injects into the traffic.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ProxyFault {
-    /// Wait before each part is passed on.
+    /// Delay before each chunk is forwarded.
     pub delay: Duration,
-    /// Connections stay open and nothing passes, in either direction.
+    /// Connections stay open, but nothing is forwarded in either direction.
     pub stalls: bool,
-    /// Only answers are held back: what is sent still arrives.
+    /// Only bytes from the server are stalled; bytes from the client are still forwarded.
     pub stalls_answers: bool,
     /// New connections are closed at once.
     pub refuses: bool,
-    /// Each connection is closed once so many bytes went to the server; zero
-    /// for never.
+    /// Each connection is closed when the client sends more than this number of bytes.
+    ///
+    /// Zero disables the fault.
     pub cut_after: usize,
 }
 
-/// The proxy, and its faults.
+/// A running proxy with fault injection.
 #[derive(Debug)]
 pub struct FaultProxy {
     fault: Arc<Mutex<ProxyFault>>,
-    cuts: watch::Sender<u64>,
-    /// Its thread.
+    cut_sender: watch::Sender<u64>,
+    /// The server thread.
     pub server: ServerThread,
 }
 
 impl FaultProxy {
-    /// Starts a proxy before `server`.
+    /// Starts a proxy that forwards to `server`.
     #[must_use]
     pub fn start(server: SocketAddr) -> Self {
         let fault = Arc::new(Mutex::new(ProxyFault::default()));
-        let (cuts, cut) = watch::channel(0);
-        let inner = fault.clone();
+        let (cut_sender, cut_receiver) = watch::channel(0);
+        let shared_fault = fault.clone();
         let server = ServerThread::spawn("proxy", None, move |listener| async move {
-            accept_all(listener, server, inner, cut).await;
+            accept_connections(listener, server, shared_fault, cut_receiver).await;
         });
-        FaultProxy { fault, cuts, server }
+        FaultProxy { fault, cut_sender, server }
     }
 
-    /// Puts faults in force, for open connections as well.
+    /// Replaces the faults, for open connections as well.
     pub fn set_fault(&self, fault: ProxyFault) {
-        if let Ok(mut current) = self.fault.lock() {
-            *current = fault;
+        if let Ok(mut current_fault) = self.fault.lock() {
+            *current_fault = fault;
         }
     }
 
     /// Closes all connections.
     pub fn cut(&self) {
-        self.cuts.send_modify(|count| *count += 1);
+        self.cut_sender.send_modify(|count| *count += 1);
     }
 }
 
 type SharedFault = Arc<Mutex<ProxyFault>>;
 
-fn current(fault: &SharedFault) -> ProxyFault {
+fn current_fault(fault: &SharedFault) -> ProxyFault {
     fault.lock().map(|fault| *fault).unwrap_or_default()
 }
 
-async fn accept_all(
+async fn accept_connections(
     listener: TcpListener,
     server: SocketAddr,
     fault: SharedFault,
-    cut: watch::Receiver<u64>,
+    cut_receiver: watch::Receiver<u64>,
 ) {
     loop {
         let Ok((client, _)) = listener.accept().await else {
             continue;
         };
-        if current(&fault).refuses {
+        if current_fault(&fault).refuses {
             continue;
         }
-        let (fault, mut cut) = (fault.clone(), cut.clone());
-        cut.mark_unchanged();
+        let (fault, mut cut_receiver) = (fault.clone(), cut_receiver.clone());
+        cut_receiver.mark_unchanged();
         spawn_local(async move {
             let Ok(server) = TcpStream::connect(server).await else {
                 return;
@@ -94,33 +95,33 @@
             let (mut client_in, mut client_out) = client.into_split();
             let (mut server_in, mut server_out) = server.into_split();
             tokio::select! {
-                () = pass(&mut client_in, &mut server_out, &fault, false) => {}
-                () = pass(&mut server_in, &mut client_out, &fault, true) => {}
-                _ = cut.changed() => {}
+                () = forward(&mut client_in, &mut server_out, &fault, false) => {}
+                () = forward(&mut server_in, &mut client_out, &fault, true) => {}
+                _ = cut_receiver.changed() => {}
             }
         });
     }
 }
 
-async fn pass(
+async fn forward(
     from: &mut tokio::net::tcp::OwnedReadHalf,
     to: &mut tokio::net::tcp::OwnedWriteHalf,
     fault: &SharedFault,
-    is_answer: bool,
+    is_response: bool,
 ) {
     let mut buffer = vec![0; BUFFER];
-    let mut passed = 0;
+    let mut forwarded = 0;
     while let Ok(count) = from.read(&mut buffer).await {
         if count == 0 {
             return;
         }
-        tokio::time::sleep(current(fault).delay).await;
-        while is_stalled(&current(fault), is_answer) {
+        tokio::time::sleep(current_fault(fault).delay).await;
+        while is_stalled(&current_fault(fault), is_response) {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
-        passed += count;
-        let limit = current(fault).cut_after;
-        if !is_answer && limit > 0 && passed > limit {
+        forwarded += count;
+        let limit = current_fault(fault).cut_after;
+        if !is_response && limit > 0 && forwarded > limit {
             return;
         }
         if to.write_all(&buffer[..count]).await.is_err() {
@@ -129,6 +130,6 @@
     }
 }
 
-fn is_stalled(fault: &ProxyFault, is_answer: bool) -> bool {
-    fault.stalls || (fault.stalls_answers && is_answer)
+fn is_stalled(fault: &ProxyFault, is_response: bool) -> bool {
+    fault.stalls || (fault.stalls_answers && is_response)
 }
--- a/standins/tests/ports.rs
+++ b/standins/tests/ports.rs
@@ -1,4 +1,4 @@
-//! Ports that a server gives up and gets again.
+//! Reservation of a server's port while the server is stopped.
 
 use std::net::TcpListener;
 use std::sync::Arc;
@@ -6,27 +6,27 @@
 
 use standins::plain_server::PlainServer;
 
-/// Past failure: a test ended with "Address already in use". Between the end of a server
-/// and the moment at which its port was held, another program could get the port.
+/// Guards against "Address already in use" when a test restarts a server. Another program could
+/// bind the port between the server's stop and the reservation of the port.
 #[test]
-fn nobody_gets_a_port_that_is_held() {
+fn reserved_port_cannot_be_bound_by_another_program() {
     const ROUNDS: usize = 50;
     let mut server = PlainServer::start();
     let address = server.server.address;
-    let is_over = Arc::new(AtomicBool::new(false));
-    let seen = is_over.clone();
-    let thief = std::thread::spawn(move || {
-        let mut taken = 0;
-        while !seen.load(Ordering::Relaxed) {
-            taken += usize::from(TcpListener::bind(address).is_ok());
+    let is_finished = Arc::new(AtomicBool::new(false));
+    let finished_flag = is_finished.clone();
+    let other_program = std::thread::spawn(move || {
+        let mut bound_count = 0;
+        while !finished_flag.load(Ordering::Relaxed) {
+            bound_count += usize::from(TcpListener::bind(address).is_ok());
         }
-        taken
+        bound_count
     });
     for _ in 0..ROUNDS {
-        let held = server.refuse();
-        server.restart(held);
+        let reserved = server.refuse();
+        server.restart(reserved);
     }
-    is_over.store(true, Ordering::Relaxed);
-    assert_eq!(thief.join().expect("the other program"), 0);
+    is_finished.store(true, Ordering::Relaxed);
+    assert_eq!(other_program.join().expect("the other program"), 0);
     assert_eq!(server.server.address, address);
 }
