--- a/standins/src/compare.rs
+++ b/standins/src/compare.rs
@@ -1,4 +1,4 @@
-//! Ways of choosing a target, under the same load in one run.
+//! Compares routing policies under the same load.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
@@ -11,56 +11,58 @@
 use crate::demo::{DemoSpec, demo_fleet, run_fleet};
 use crate::engine_model::EngineModel;
 use crate::fleet::{Fleet, FleetSpec};
-use crate::report::{LoadReport, SHORT, short_firsts, to_times};
+use crate::report::{LoadReport, MAX_SHORT_TOKENS, short_prompt_ttfts, to_latency_summary};
 
-/// How old reported loads are.
-const LOAD_LAG: Duration = Duration::from_millis(400);
+/// Interval at which the policy `least-reported` refreshes its loads.
+const LOAD_REFRESH_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Figures of one way.
+/// Results of one routing policy.
 #[derive(Clone, Debug, Serialize)]
-pub struct PolicyFigures {
-    /// Its name.
+pub struct PolicyResult {
+    /// Name of the policy.
     pub name: &'static str,
-    /// Median time to the first token of short prompts, in milliseconds.
+    /// Median time to first token of short prompts, in milliseconds.
     pub short_p50: f64,
-    /// 95th percentile of it.
+    /// 95th percentile of the time to first token of short prompts, in milliseconds.
     pub short_p95: f64,
-    /// Slowdown of short prompts while long ones run.
+    /// Ratio of short prompts' p95 time to first token with long prompts to that without.
     pub short_slowdown: f64,
-    /// Longest time to the first token, of the longest prompts.
+    /// Longest time to first token of any prompt, in milliseconds.
     pub longest: f64,
-    /// Requests refused or failed.
+    /// Requests that were refused or failed.
     pub not_finished: u64,
-    /// Promises broken: lost, doubled, mixed, leaked.
+    /// Broken guarantees: lost and wrong answers, double executions and leaked tokens.
     pub broken: u64,
 }
 
 type EngineModels = Arc<Mutex<Vec<(String, Arc<Mutex<EngineModel>>)>>>;
 
-/// Runs the same load under each way.
+/// Runs the same load under each policy.
 #[must_use]
-pub fn compare(spec: &DemoSpec) -> Vec<PolicyFigures> {
+pub fn compare(spec: &DemoSpec) -> Vec<PolicyResult> {
     let names = ["direct", "asking", "least-reported", "round-robin", "random"];
     names
         .into_iter()
         .map(|name| run_policy(name, spec))
-        .inspect(|one| eprintln!("{one:?}"))
+        .inspect(|result| eprintln!("{result:?}"))
         .collect()
 }
 
-fn run_policy(name: &'static str, spec: &DemoSpec) -> PolicyFigures {
+fn run_policy(name: &'static str, spec: &DemoSpec) -> PolicyResult {
     let models = EngineModels::default();
     let policy = to_policy(name, &models);
     let fleet = Fleet::start(&FleetSpec { policy, ..demo_fleet(spec) });
-    let named = fleet.agents.iter().zip(&fleet.engines);
-    let named = named.map(|(agent, engine)| (agent.name.clone(), engine.model.clone()));
+    let models_by_target = fleet.agents.iter().zip(&fleet.engines);
+    let models_by_target =
+        models_by_target.map(|(agent, engine)| (agent.name.clone(), engine.model.clone()));
     if let Ok(mut models) = models.lock() {
-        models.extend(named);
+        models.extend(models_by_target);
     }
     let (report, outcomes) = run_fleet(spec, fleet);
-    let shorts = to_times(&short_firsts(&outcomes, SHORT));
-    let longest = outcomes.iter().filter_map(|outcome| outcome.first).max().unwrap_or_default();
-    PolicyFigures {
+    let shorts = to_latency_summary(&short_prompt_ttfts(&outcomes, MAX_SHORT_TOKENS));
+    let longest =
+        outcomes.iter().filter_map(|outcome| outcome.time_to_first_chunk).max().unwrap_or_default();
+    PolicyResult {
         name,
         short_p50: shorts.p50,
         short_p95: shorts.p95,
@@ -91,14 +93,15 @@
     RoutePolicy { is_direct: name == "direct", pick }
 }
 
-/// The target whose engine held the least memory when last reported.
+/// Returns a policy that picks the target whose engine used the least memory at the last refresh.
 fn least_reported(models: EngineModels) -> TargetPick {
     let reported = Mutex::new((None::<Instant>, Vec::<(String, u64)>::new()));
     TargetPick(Arc::new(move |names| {
         let mut reported = reported.lock().ok()?;
-        if reported.0.is_none_or(|at| at.elapsed() > LOAD_LAG) {
+        if reported.0.is_none_or(|refreshed_at| refreshed_at.elapsed() > LOAD_REFRESH_INTERVAL) {
             let models = models.lock().ok()?;
-            let used = |model: &Arc<Mutex<EngineModel>>| model.lock().map_or(0, |one| one.used());
+            let used =
+                |model: &Arc<Mutex<EngineModel>>| model.lock().map_or(0, |model| model.used());
             let loads = models.iter().map(|(name, model)| (name.clone(), used(model)));
             *reported = (Some(Instant::now()), loads.collect());
         }
@@ -110,24 +113,24 @@
     }))
 }
 
-/// Writes figures for a reader.
+/// Formats the results as a text table.
 #[must_use]
-pub fn to_table(figures: &[PolicyFigures]) -> String {
+pub fn to_table(results: &[PolicyResult]) -> String {
     use std::fmt::Write;
     let mut text = String::from(
-        "way              short p50   short p95   slowdown   longest first   not finished  broken\n",
+        "policy           short p50   short p95   slowdown   longest first   not finished  broken\n",
     );
-    for one in figures {
+    for result in results {
         let _ = writeln!(
             text,
             "{:<15} {:>8.1} ms {:>8.1} ms {:>10.2} {:>12.0} ms {:>14} {:>7}",
-            one.name,
-            one.short_p50,
-            one.short_p95,
-            one.short_slowdown,
-            one.longest,
-            one.not_finished,
-            one.broken
+            result.name,
+            result.short_p50,
+            result.short_p95,
+            result.short_slowdown,
+            result.longest,
+            result.not_finished,
+            result.broken
         );
     }
     text
--- a/standins/src/demo.rs
+++ b/standins/src/demo.rs
@@ -1,4 +1,4 @@
-//! The main job: a whole fleet under a bounded mixed load.
+//! The demo: a whole fleet under a bounded mixed load.
 
 use std::io::IsTerminal;
 use std::rc::Rc;
@@ -22,45 +22,52 @@
 use crate::load::{LoadCaller, PlannedCall, PlannedRequest, RequestOutcome};
 use crate::report::LoadReport;
 
-/// Requests of the quiet phase, as a share of all.
-const QUIET_SHARE: f64 = 0.3;
+/// Fraction of the requests that belong to the quiet phase, which has no long prompts.
+const QUIET_FRACTION: f64 = 0.3;
 
-/// One request in so many has a prompt of more than a hundred thousand tokens.
-const LONG_EVERY: u64 = 50;
+/// One of this number of requests has a prompt of more than 100,000 tokens.
+const LONG_PROMPT_PERIOD: u64 = 50;
 
-/// One request in so many is an order to the plain service.
-const ORDER_EVERY: u64 = 12;
+/// One of this number of requests is an order to the plain service.
+const ORDER_PERIOD: u64 = 12;
 
-/// Time from one request to the next.
-const STEP: Duration = Duration::from_millis(80);
+/// Default time from one request to the next.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(80);
 
-/// How long the engines are given to let everything go.
-const SETTLE: Duration = Duration::from_secs(5);
+/// Time within which engines release all memory after the load.
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What the demo is asked to do.
+/// Parameters of the demo.
 #[derive(Clone, Debug)]
 pub struct DemoSpec {
-    /// Seed of the load and the stand-ins.
+    /// Seed of the load and of the engines.
     pub seed: u64,
-    /// Requests to make.
+    /// Number of requests.
     pub requests: u64,
-    /// Divides the times of the engines.
+    /// Divisor of the engines' times.
     pub time_scale: f64,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
     /// Time from one request to the next.
-    pub step: Duration,
-    /// Shows no progress.
-    pub quiet: bool,
+    pub interval: Duration,
+    /// Whether the progress bar is hidden.
+    pub hides_progress: bool,
 }
 
 impl Default for DemoSpec {
     fn default() -> Self {
-        DemoSpec { seed: 1, requests: 300, time_scale: 4.0, engines: 8, step: STEP, quiet: false }
+        DemoSpec {
+            seed: 1,
+            requests: 300,
+            time_scale: 4.0,
+            engines: 8,
+            interval: REQUEST_INTERVAL,
+            hides_progress: false,
+        }
     }
 }
 
-/// The fleet of the demo: Valdivia, small.
+/// Returns the demo's fleet, a small one for the configuration `examples/valdivia.toml`.
 #[must_use]
 pub fn demo_fleet(spec: &DemoSpec) -> FleetSpec {
     FleetSpec {
@@ -79,50 +86,52 @@
     }
 }
 
-/// The requests of the demo.
+/// Plans the demo's requests from its seed.
 #[must_use]
 pub fn plan(spec: &DemoSpec) -> Vec<PlannedRequest> {
     let mut rng = StdRng::seed_from_u64(spec.seed);
-    let quiet = (spec.requests as f64 * QUIET_SHARE) as u64;
+    let quiet_count = (spec.requests as f64 * QUIET_FRACTION) as u64;
     let mut planned = Vec::new();
     for number in 0..spec.requests {
-        let phase = u8::from(number >= quiet);
+        let phase = u8::from(number >= quiet_count);
         let call = plan_call(number, phase, spec, &mut rng);
         let account = to_account(&call, &mut rng);
-        let at = spec.step * number as u32;
+        let at = spec.interval * number as u32;
         planned.push(PlannedRequest { at, account, call, seed: rng.random(), phase });
     }
     planned
 }
 
 fn plan_call(number: u64, phase: u8, spec: &DemoSpec, rng: &mut StdRng) -> PlannedCall {
-    if number % ORDER_EVERY == 5 {
+    if number % ORDER_PERIOD == 5 {
         let path = if rng.random_bool(0.5) { "/confirm" } else { "/release" };
         return PlannedCall::Order {
             path: path.into(),
             order: format!("order-{}-{number}", spec.seed),
         };
     }
-    // All long prompts of the load come in its second part, one in fifty over
-    // the whole; the first of them is the largest.
-    let quiet = (spec.requests as f64 * QUIET_SHARE) as u64;
-    let longs = (spec.requests / LONG_EVERY).max(1);
-    let every = ((spec.requests - quiet) / longs).max(1);
-    let is_long = phase == 1 && (number - quiet) % every == 2 && (number - quiet) / every < longs;
-    let kind: f64 = rng.random();
-    let tokens = match kind {
-        _ if is_long && number < quiet + every => 1_000_000,
+    // All long prompts belong to the mixed phase. They are one in fifty of all requests, and the
+    // first of them is the largest.
+    let quiet_count = (spec.requests as f64 * QUIET_FRACTION) as u64;
+    let long_count = (spec.requests / LONG_PROMPT_PERIOD).max(1);
+    let long_period = ((spec.requests - quiet_count) / long_count).max(1);
+    let is_long = phase == 1
+        && (number - quiet_count) % long_period == 2
+        && (number - quiet_count) / long_period < long_count;
+    let length_draw: f64 = rng.random();
+    let prompt_tokens = match length_draw {
+        _ if is_long && number < quiet_count + long_period => 1_000_000,
         _ if is_long => log_uniform(110_000, 900_000, rng),
-        kind if kind < 0.7 => log_uniform(1_000, 4_000, rng),
-        kind if kind < 0.92 => log_uniform(4_000, 16_000, rng),
+        length_draw if length_draw < 0.7 => log_uniform(1_000, 4_000, rng),
+        length_draw if length_draw < 0.92 => log_uniform(4_000, 16_000, rng),
         _ => log_uniform(16_000, 60_000, rng),
     };
     PlannedCall::Model {
-        tokens,
-        answer: rng.random_range(16..64),
+        prompt_tokens,
+        answer_tokens: rng.random_range(16..64),
         family: rng.random_range(0..6),
-        stream: rng.random_bool(0.8),
-        repeatable: rng.random_bool(0.9),
+        is_stream: rng.random_bool(0.8),
+        is_repeatable: rng.random_bool(0.9),
     }
 }
 
@@ -136,28 +145,28 @@
     const STAFF: [&str; 3] = ["dock-staff", "workshop", "fleet-log"];
     const OFFICE: [&str; 3] = ["harbour-office", "permit-desk", "river-council"];
     let names: &[&str] = match call {
-        PlannedCall::Model { tokens, .. } if *tokens > 60_000 => &OFFICE,
-        PlannedCall::Model { tokens, .. } if *tokens > 8_000 => &STAFF,
+        PlannedCall::Model { prompt_tokens, .. } if *prompt_tokens > 60_000 => &OFFICE,
+        PlannedCall::Model { prompt_tokens, .. } if *prompt_tokens > 8_000 => &STAFF,
         _ => &KIOSKS,
     };
     names[rng.random_range(0..names.len())].to_owned()
 }
 
-/// Runs the demo and returns its figures.
+/// Runs the demo on its own fleet and returns its report.
 ///
 /// # Panics
 ///
-/// If the machine gives no thread or port.
+/// If no thread or port is available.
 #[must_use]
 pub fn run(spec: &DemoSpec) -> LoadReport {
     run_fleet(spec, Fleet::start(&demo_fleet(spec))).0
 }
 
-/// Runs the demo on a fleet. Returns its figures, and what came of each request.
+/// Runs the demo on a fleet and returns its report and the outcome of each request.
 ///
 /// # Panics
 ///
-/// If the machine gives no thread.
+/// If no thread is available, or the fleet does not become ready.
 #[must_use]
 pub fn run_fleet(spec: &DemoSpec, mut fleet: Fleet) -> (LoadReport, Vec<RequestOutcome>) {
     let runtime = Builder::new_current_thread().enable_all().build().expect("runtime");
@@ -165,31 +174,31 @@
     let outcomes = runtime.block_on(LocalSet::new().run_until(async {
         apply_config(&fleet, config).await;
         wait_ready(&fleet, Duration::from_secs(10)).await;
-        drive(&fleet, spec).await
+        send_load(&fleet, spec).await
     }));
     let start = Instant::now();
-    while fleet.held_tokens() > 0 && start.elapsed() < SETTLE {
+    while fleet.held_tokens() > 0 && start.elapsed() < RELEASE_TIMEOUT {
         std::thread::sleep(Duration::from_millis(20));
     }
     let orders = fleet.plain.counts.lock().map(|counts| counts.clone()).unwrap_or_default();
     let mut report = LoadReport::from_outcomes(&outcomes, &orders);
     report.leaked_tokens = fleet.held_tokens();
-    report.loop_turn_max_ms = fleet.stop().as_secs_f64() * 1e3;
+    report.max_loop_iteration_ms = fleet.stop().as_secs_f64() * 1e3;
     (report, outcomes)
 }
 
-async fn drive(fleet: &Fleet, spec: &DemoSpec) -> Vec<RequestOutcome> {
+async fn send_load(fleet: &Fleet, spec: &DemoSpec) -> Vec<RequestOutcome> {
     let addresses = fleet.entries.iter().map(|entry| entry.callers).collect();
-    let limit = Duration::from_secs(120);
-    let caller = Rc::new(LoadCaller::new(addresses, "booking-app", "canal-8b", limit));
+    let timeout = Duration::from_secs(120);
+    let caller = Rc::new(LoadCaller::new(addresses, "booking-app", "canal-8b", timeout));
     let progress = new_progress(spec);
-    let zero = Instant::now();
+    let load_start = Instant::now();
     let mut tasks = Vec::new();
     for planned in plan(spec) {
         let (caller, progress) = (caller.clone(), progress.clone());
         tasks.push(tokio::task::spawn_local(async move {
-            tokio::time::sleep_until((zero + planned.at).into()).await;
-            let outcome = caller.call(planned, zero).await;
+            tokio::time::sleep_until((load_start + planned.at).into()).await;
+            let outcome = caller.call(planned, load_start).await;
             progress.inc(1);
             outcome
         }));
@@ -203,7 +212,7 @@
 }
 
 fn new_progress(spec: &DemoSpec) -> ProgressBar {
-    if spec.quiet || !std::io::stderr().is_terminal() {
+    if spec.hides_progress || !std::io::stderr().is_terminal() {
         return ProgressBar::hidden();
     }
     let progress = ProgressBar::new(spec.requests);
@@ -211,12 +220,11 @@
     progress.with_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()))
 }
 
-/// Makes a configuration the accepted one, by the administration API of the
-/// first entry.
+/// Applies a configuration through the admin API of the first entry.
 ///
 /// # Panics
 ///
-/// If the entry refuses it.
+/// If the entry does not answer or refuses the configuration.
 pub async fn apply_config(fleet: &Fleet, text: &str) {
     let uri = format!("http://{}/admin/v1/config", fleet.entries[0].admin_address);
     let client = Client::builder(TokioExecutor::new()).build_http::<Full<Bytes>>();
@@ -224,8 +232,8 @@
         .header("authorization", format!("Bearer {ADMIN_KEY}"))
         .header("if-match", "\"0\"")
         .body(Full::new(Bytes::copy_from_slice(text.as_bytes())))
-        .expect("a well-formed request");
-    let response = client.request(request).await.expect("an answer");
+        .expect("a valid request");
+    let response = client.request(request).await.expect("a response");
     let status = response.status();
     let body = response.into_body().collect().await.expect("a body").to_bytes();
     assert!(status.is_success(), "{status}: {}", String::from_utf8_lossy(&body));
@@ -235,14 +243,14 @@
 ///
 /// # Panics
 ///
-/// If that takes longer than `limit`.
-pub async fn wait_ready(fleet: &Fleet, limit: Duration) {
+/// If this takes longer than `timeout`.
+pub async fn wait_ready(fleet: &Fleet, timeout: Duration) {
     let client = Client::builder(TokioExecutor::new()).build_http::<Full<Bytes>>();
     let start = Instant::now();
-    let wanted = format!("shalelane_entry_known_targets {}", fleet.agents.len());
+    let expected_metric = format!("shalelane_entry_known_targets {}", fleet.agents.len());
     for entry in &fleet.entries {
         loop {
-            assert!(start.elapsed() < limit, "an entry did not get ready");
+            assert!(start.elapsed() < timeout, "entry not ready within {timeout:?}");
             let get = |path: &str| {
                 let uri = format!("http://{}{path}", entry.callers).parse().expect("a uri");
                 client.get(uri)
@@ -255,7 +263,7 @@
                 Err(_) => Ok(Bytes::new()),
             };
             let text = String::from_utf8_lossy(&metrics.unwrap_or_default()).into_owned();
-            if ready && text.contains(&wanted) {
+            if ready && text.contains(&expected_metric) {
                 break;
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
--- a/standins/src/load.rs
+++ b/standins/src/load.rs
@@ -1,4 +1,4 @@
-//! The load tool: callers of an entry, and a check of every answer.
+//! The load generator: sends planned requests to entries and checks every answer.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -14,99 +14,106 @@
 
 use crate::prompt::{make_prompt, prompt_hash, whole_answer};
 
-/// What a planned request asks for.
+/// Kind and parameters of a planned request.
 #[derive(Clone, Debug)]
 pub enum PlannedCall {
-    /// A completion of a prompt.
+    /// A completion by a model.
     Model {
-        /// Tokens of the prompt.
-        tokens: u64,
-        /// Tokens of the answer.
-        answer: u64,
-        /// Prompts of one family begin alike.
+        /// Length of the prompt in tokens.
+        prompt_tokens: u64,
+        /// Length of the answer in tokens.
+        answer_tokens: u64,
+        /// Family of the prompt. Prompts of one family share a prefix.
         family: u64,
-        /// Whether the answer is wanted as a stream.
-        stream: bool,
-        /// Whether it may run again.
-        repeatable: bool,
+        /// Whether the request asks for a streamed answer.
+        is_stream: bool,
+        /// Whether the request may be executed more than once.
+        is_repeatable: bool,
     },
-    /// A call of a plain service that may run once only.
+    /// A call to the plain service that may be executed only once.
     Order {
-        /// Path at the service.
+        /// Path within the service.
         path: String,
-        /// The order.
+        /// Name of the order.
         order: String,
     },
 }
 
-/// A request that is to be made at a time.
+/// A request and the time at which it is sent.
 #[derive(Clone, Debug)]
 pub struct PlannedRequest {
-    /// Time since the start.
+    /// Time of the request, from the start of the load.
     pub at: Duration,
-    /// Client account.
+    /// Client account that sends the request.
     pub account: String,
-    /// What it asks for.
+    /// Kind and parameters.
     pub call: PlannedCall,
-    /// Seed of its prompt.
+    /// Seed of the prompt; it selects the entry as well.
     pub seed: u64,
-    /// Part of the load that the figures are split by.
+    /// Phase of the load, by which reports separate requests.
     pub phase: u8,
 }
 
 /// How a request ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestEnd {
-    /// The whole answer, and the right one.
+    /// The answer was complete and correct.
     Finished,
-    /// A whole answer that is not the one to this request.
-    Mixed,
-    /// A final failure with this verdict.
+    /// The answer was complete but its text is not the expected one.
+    WrongAnswer,
+    /// The request failed with this status and verdict.
     Failed(StatusCode, String),
-    /// No final answer.
+    /// No final answer arrived, for this reason.
     Lost(String),
 }
 
-/// What came of a request.
+/// Result and timing of a request.
 #[derive(Clone, Debug)]
 pub struct RequestOutcome {
-    /// The request.
+    /// The planned request.
     pub planned: PlannedRequest,
-    /// Its end.
+    /// How the request ended.
     pub end: RequestEnd,
-    /// Time to the first part of the answer.
-    pub first: Option<Duration>,
-    /// Time to its end.
-    pub total: Duration,
-    /// When it was made, since the start.
+    /// Time from sending the request to the first chunk of the answer.
+    pub time_to_first_chunk: Option<Duration>,
+    /// Time from sending the request to its end.
+    pub duration: Duration,
+    /// Time at which the request was sent, from the start of the load.
     pub started: Duration,
-    /// Name that the entry gave it.
-    pub id: String,
+    /// Request id that the entry assigned, empty if unknown.
+    pub request_id: String,
 }
 
 type LoadClient = Client<HttpConnector, Full<Bytes>>;
 
-/// Makes requests.
+/// Sends requests to entries.
 #[derive(Clone, Debug)]
 pub struct LoadCaller {
     client: LoadClient,
     entries: Rc<Vec<SocketAddr>>,
-    plain: Rc<str>,
+    plain_service: Rc<str>,
     model: Rc<str>,
-    limit: Duration,
+    timeout: Duration,
 }
 
-struct ReadAnswer {
+struct ReceivedAnswer {
     text: String,
-    first: Option<Duration>,
-    is_whole: bool,
+    time_to_first_chunk: Option<Duration>,
+    is_complete: bool,
     failure: Option<String>,
 }
 
 impl LoadCaller {
-    /// Calls `entries` in turn.
+    /// Creates a caller that spreads requests over `entries` by their seed.
+    ///
+    /// Each request fails as lost after `timeout`.
     #[must_use]
-    pub fn new(entries: Vec<SocketAddr>, plain: &str, model: &str, limit: Duration) -> Self {
+    pub fn new(
+        entries: Vec<SocketAddr>,
+        plain_service: &str,
+        model: &str,
+        timeout: Duration,
+    ) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         let client = Client::builder(TokioExecutor::new())
@@ -116,24 +123,31 @@
         LoadCaller {
             client,
             entries: Rc::new(entries),
-            plain: plain.into(),
+            plain_service: plain_service.into(),
             model: model.into(),
-            limit,
+            timeout,
         }
     }
 
-    /// Makes one request and checks its answer.
-    pub async fn call(&self, planned: PlannedRequest, zero: Instant) -> RequestOutcome {
+    /// Sends one request and checks its answer. `load_start` is the start of the load.
+    pub async fn call(&self, planned: PlannedRequest, load_start: Instant) -> RequestOutcome {
         let entry = self.entries[planned.seed as usize % self.entries.len()];
         let (request, expected) = self.to_request(&planned, entry);
-        let start = Instant::now();
-        let work = self.finish(request, expected, start);
-        let done = tokio::time::timeout(self.limit, work).await;
-        let (end, first, id) = done.unwrap_or_else(|_| {
-            (RequestEnd::Lost("no answer in time".into()), None, String::new())
+        let sent_at = Instant::now();
+        let exchange = self.finish(request, expected, sent_at);
+        let completed = tokio::time::timeout(self.timeout, exchange).await;
+        let (end, time_to_first_chunk, request_id) = completed.unwrap_or_else(|_| {
+            (RequestEnd::Lost("no answer within the time limit".into()), None, String::new())
         });
-        let started = start.duration_since(zero);
-        RequestOutcome { planned, end, first, total: start.elapsed(), started, id }
+        let started = sent_at.duration_since(load_start);
+        RequestOutcome {
+            planned,
+            end,
+            time_to_first_chunk,
+            duration: sent_at.elapsed(),
+            started,
+            request_id,
+        }
     }
 
     fn to_request(
@@ -146,23 +160,29 @@
             .header("authorization", format!("Bearer demo-{}", planned.account))
             .header("content-type", "application/json");
         match &planned.call {
-            PlannedCall::Model { tokens, answer, family, stream, repeatable } => {
-                let prompt = make_prompt(*tokens, *family, 600, planned.seed);
-                let expected = whole_answer(prompt_hash(&prompt), *answer);
+            PlannedCall::Model {
+                prompt_tokens,
+                answer_tokens,
+                family,
+                is_stream,
+                is_repeatable,
+            } => {
+                let prompt = make_prompt(*prompt_tokens, *family, 600, planned.seed);
+                let expected = whole_answer(prompt_hash(&prompt), *answer_tokens);
                 let body = json!({
                     "model": &*self.model,
                     "prompt": prompt,
-                    "max_tokens": answer,
-                    "stream": stream,
+                    "max_tokens": answer_tokens,
+                    "stream": is_stream,
                 });
-                let repeat = if *repeatable { "yes" } else { "no" };
+                let repeatable_header = if *is_repeatable { "yes" } else { "no" };
                 let builder = builder
                     .uri(format!("http://{entry}/v1/completions"))
-                    .header("shalelane-repeatable", repeat);
+                    .header("shalelane-repeatable", repeatable_header);
                 (build(builder, &body), Some(expected))
             }
             PlannedCall::Order { path, order } => {
-                let uri = format!("http://{entry}/services/{}{path}", self.plain);
+                let uri = format!("http://{entry}/services/{}{path}", self.plain_service);
                 (build(builder.uri(uri), &json!({"order": order})), None)
             }
         }
@@ -172,7 +192,7 @@
         &self,
         request: Request<Full<Bytes>>,
         expected: Option<String>,
-        start: Instant,
+        sent_at: Instant,
     ) -> (RequestEnd, Option<Duration>, String) {
         let response = match self.client.request(request).await {
             Ok(response) => response,
@@ -182,21 +202,21 @@
             let value = response.headers().get(name).and_then(|value| value.to_str().ok());
             value.unwrap_or("").to_owned()
         };
-        let (status, id, verdict) =
+        let (status, request_id, verdict) =
             (response.status(), header("x-request-id"), header("shalelane-verdict"));
         let is_stream = header("content-type").starts_with("text/event-stream");
         if !status.is_success() {
             let _ = response.into_body().collect().await;
-            return (RequestEnd::Failed(status, verdict), None, id);
+            return (RequestEnd::Failed(status, verdict), None, request_id);
         }
-        let read = read_answer(response, is_stream, start).await;
-        let end = match (read.failure, read.is_whole, expected) {
+        let received = read_answer(response, is_stream, sent_at).await;
+        let end = match (received.failure, received.is_complete, expected) {
             (Some(verdict), _, _) => RequestEnd::Failed(StatusCode::BAD_GATEWAY, verdict),
-            (None, false, _) => RequestEnd::Lost("the answer broke off".into()),
-            (None, true, Some(expected)) if expected != read.text => RequestEnd::Mixed,
+            (None, false, _) => RequestEnd::Lost("the answer was incomplete".into()),
+            (None, true, Some(expected)) if expected != received.text => RequestEnd::WrongAnswer,
             (None, true, _) => RequestEnd::Finished,
         };
-        (end, read.first, id)
+        (end, received.time_to_first_chunk, request_id)
     }
 }
 
@@ -208,39 +228,43 @@
 async fn read_answer(
     response: hyper::Response<hyper::body::Incoming>,
     is_stream: bool,
-    start: Instant,
-) -> ReadAnswer {
-    let mut answer =
-        ReadAnswer { text: String::new(), first: None, is_whole: false, failure: None };
+    sent_at: Instant,
+) -> ReceivedAnswer {
+    let mut answer = ReceivedAnswer {
+        text: String::new(),
+        time_to_first_chunk: None,
+        is_complete: false,
+        failure: None,
+    };
     let mut body = response.into_body();
-    let mut pending = Vec::new();
+    let mut buffer = Vec::new();
     while let Some(Ok(frame)) = body.frame().await {
         let Ok(part) = frame.into_data() else {
             continue;
         };
-        answer.first.get_or_insert(start.elapsed());
-        pending.extend_from_slice(&part);
+        answer.time_to_first_chunk.get_or_insert(sent_at.elapsed());
+        buffer.extend_from_slice(&part);
         if is_stream {
-            take_events(&mut pending, &mut answer);
+            parse_events(&mut buffer, &mut answer);
         }
     }
     if !is_stream {
-        let value: Value = serde_json::from_slice(&pending).unwrap_or_default();
+        let value: Value = serde_json::from_slice(&buffer).unwrap_or_default();
         answer.text.push_str(value["choices"][0]["text"].as_str().unwrap_or(""));
-        answer.is_whole = !value.is_null();
+        answer.is_complete = !value.is_null();
     }
     answer
 }
 
-fn take_events(pending: &mut Vec<u8>, answer: &mut ReadAnswer) {
-    while let Some(end) = pending.windows(2).position(|pair| pair == b"\n\n") {
-        let event: Vec<u8> = pending.drain(..end + 2).collect();
+fn parse_events(buffer: &mut Vec<u8>, answer: &mut ReceivedAnswer) {
+    while let Some(end) = buffer.windows(2).position(|pair| pair == b"\n\n") {
+        let event: Vec<u8> = buffer.drain(..end + 2).collect();
         let event = String::from_utf8_lossy(&event).into_owned();
         let Some(data) = event.trim().rsplit("data: ").next() else {
             continue;
         };
         if data == "[DONE]" {
-            answer.is_whole = true;
+            answer.is_complete = true;
             continue;
         }
         let value: Value = serde_json::from_str(data).unwrap_or_default();
--- a/standins/src/main.rs
+++ b/standins/src/main.rs
@@ -1,4 +1,4 @@
-//! The stand-ins' program: `demo` runs the main job, `up` keeps a fleet.
+//! Command line program that runs fleets of stand-ins, simulations and measurements.
 
 use std::alloc::System;
 use std::path::{Path, PathBuf};
@@ -30,19 +30,19 @@
     Demo(DemoArguments),
     #[options(help = "run a fleet until it is interrupted")]
     Up(DemoArguments),
-    #[options(help = "make randomised runs under faults, in virtual time")]
+    #[options(help = "run randomised simulations with faults in virtual time")]
     Chaos(ChaosArguments),
-    #[options(help = "measure what one more request, target, account or change costs")]
+    #[options(help = "measure how costs grow with requests, targets, accounts and changes")]
     Slopes(SlopesArguments),
-    #[options(help = "compare ways of choosing a target under the same load")]
+    #[options(help = "compare routing policies under the same load")]
     Routing(DemoArguments),
-    #[options(help = "measure goodput under more load than the engines can take")]
+    #[options(help = "measure goodput at loads below and above the engines' capacity")]
     Overload(DemoArguments),
-    #[options(help = "measure long prompts beside short ones")]
+    #[options(help = "measure long prompts beside short ones for several prefill piece sizes")]
     Lanes(DemoArguments),
-    #[options(help = "play loads in virtual time under two settings of the relay")]
+    #[options(help = "compare two relay policies under simulated loads in virtual time")]
     Replay(ReplayArguments),
-    #[options(help = "count calls to the platform's store by the size of the fleet")]
+    #[options(help = "count calls to the platform's store for several fleet sizes")]
     Control(ControlArguments),
 }
 
@@ -50,11 +50,11 @@
 struct ReplayArguments {
     #[options(help = "print this help")]
     help: bool,
-    #[options(help = "TOML file of a policy to compare with [the default]", meta = "FILE")]
+    #[options(help = "TOML file of the baseline policy [default policy]", meta = "FILE")]
     base: Option<PathBuf>,
-    #[options(help = "TOML file of a policy that is compared [the default]", meta = "FILE")]
+    #[options(help = "TOML file of the policy to compare [default policy]", meta = "FILE")]
     other: Option<PathBuf>,
-    #[options(help = "seeds of the loads, from..to [1..6]", no_short, meta = "A..B")]
+    #[options(help = "range of seeds of the loads, end excluded [1..6]", no_short, meta = "A..B")]
     seeds: Option<String>,
 }
 
@@ -64,9 +64,9 @@
     help: bool,
     #[options(help = "print JSON", no_short)]
     json: bool,
-    #[options(help = "seed of what is by chance [1]", no_short, meta = "N")]
+    #[options(help = "seed of the random numbers [1]", no_short, meta = "N")]
     seed: Option<u64>,
-    #[options(help = "entries of the largest fleet [2400]", no_short, meta = "N")]
+    #[options(help = "maximum number of entries [2400]", no_short, meta = "N")]
     most: Option<usize>,
 }
 
@@ -78,7 +78,7 @@
     json: bool,
 }
 
-/// Counts the bytes on the heap, for the slopes of memory.
+/// Allocator that counts heap bytes, for the memory figures of `slopes`.
 #[global_allocator]
 static HEAP: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
@@ -91,10 +91,14 @@
 struct ChaosArguments {
     #[options(help = "print this help")]
     help: bool,
-    #[options(help = "seeds of the runs, from..to [0..1000]", no_short, meta = "A..B")]
+    #[options(
+        help = "range of seeds of the runs, end excluded [0..1000]",
+        no_short,
+        meta = "A..B"
+    )]
     seeds: Option<String>,
     #[options(
-        help = "put each stated fault into the cores and tell which seed catches it",
+        help = "inject each known fault into the cores and print the seed that detects it",
         no_short
     )]
     mutants: bool,
@@ -108,11 +112,11 @@
     json: bool,
     #[options(help = "seed of the load [1]", no_short, meta = "N")]
     seed: Option<u64>,
-    #[options(help = "requests to make [300]", no_short, meta = "N")]
+    #[options(help = "number of requests [300]", no_short, meta = "N")]
     requests: Option<u64>,
-    #[options(help = "engines [8]", no_short, meta = "N")]
+    #[options(help = "number of engines [8]", no_short, meta = "N")]
     engines: Option<usize>,
-    #[options(help = "divides the times of the engines [4]", no_short, meta = "X")]
+    #[options(help = "divisor of the engines' times [4]", no_short, meta = "X")]
     time_scale: Option<f64>,
     #[options(help = "time from one request to the next, in ms [80]", no_short, meta = "N")]
     step_ms: Option<u64>,
@@ -126,8 +130,8 @@
             requests: self.requests.unwrap_or(default.requests),
             time_scale: self.time_scale.unwrap_or(default.time_scale),
             engines: self.engines.unwrap_or(default.engines),
-            quiet: self.json,
-            step: self.step_ms.map_or(default.step, Duration::from_millis),
+            hides_progress: self.json,
+            interval: self.step_ms.map_or(default.interval, Duration::from_millis),
         }
     }
 }
@@ -208,23 +212,23 @@
     }
     match run_seeds(first, end, None) {
         SeedsOutcome { broken: Some((seed, outcome)), .. } => {
-            print_failure(seed, &outcome);
+            print_broken_run(seed, &outcome);
             ExitCode::FAILURE
         }
         SeedsOutcome { finished, failed, .. } => {
             println!(
-                "seeds {first}..{end}: no promise broken; {finished} finished, {failed} failed"
+                "seeds {first}..{end}: no guarantee broken; {finished} finished, {failed} failed"
             );
             ExitCode::SUCCESS
         }
     }
 }
 
-/// Reads `A..B`, or says how it is written.
+/// Parses a range `A..B`. Prints an error and returns `None` if it is malformed.
 fn parse_seeds(seeds: &str) -> Option<(u64, u64)> {
     let parsed = seeds.split_once("..").and_then(|(a, b)| Some((a.parse().ok()?, b.parse().ok()?)));
     if parsed.is_none() {
-        eprintln!("--seeds reads A..B");
+        eprintln!("invalid --seeds: expected a range A..B");
     }
     parsed
 }
@@ -242,7 +246,9 @@
     ExitCode::SUCCESS
 }
 
-/// Reads a policy, the default one without a file. Says what is wrong with it.
+/// Reads a policy from a file, or returns the default policy without one.
+///
+/// Prints an error and returns `None` if the file cannot be read or the policy is invalid.
 fn read_policy(file: Option<&Path>) -> Option<RelayPolicy> {
     let Some(file) = file else { return Some(RelayPolicy::DEFAULT) };
     let read = std::fs::read_to_string(file).map_err(|error| error.to_string());
@@ -251,10 +257,10 @@
         Ok(()) => Ok(policy),
         Err(error) => Err(error.to_string()),
     });
-    checked.inspect_err(|why| eprintln!("{}: {why}", file.display())).ok()
+    checked.inspect_err(|error| eprintln!("{}: {error}", file.display())).ok()
 }
 
-fn print_failure(seed: u64, outcome: &ChaosOutcome) {
+fn print_broken_run(seed: u64, outcome: &ChaosOutcome) {
     for line in &outcome.log {
         println!("{line}");
     }
@@ -266,18 +272,18 @@
 
 fn run_mutants(first: u64, end: u64) -> ExitCode {
     std::panic::set_hook(Box::new(|_| {}));
-    let mut is_missed = false;
+    let mut is_any_missed = false;
     for mutant in Mutant::ALL {
-        let caught = run_seeds(first, end, Some(mutant)).broken;
-        match &caught {
+        let detected_by = run_seeds(first, end, Some(mutant)).broken;
+        match &detected_by {
             Some((seed, outcome)) => {
                 println!("{mutant:?}: caught by seed {seed}: {}", outcome.broken[0]);
             }
             None => println!("{mutant:?}: missed"),
         }
-        is_missed |= caught.is_none();
+        is_any_missed |= detected_by.is_none();
     }
-    if is_missed { ExitCode::FAILURE } else { ExitCode::SUCCESS }
+    if is_any_missed { ExitCode::FAILURE } else { ExitCode::SUCCESS }
 }
 
 fn run_slopes(arguments: &SlopesArguments) -> ExitCode {
@@ -291,7 +297,7 @@
 }
 
 fn run_routing(arguments: &DemoArguments) -> ExitCode {
-    let spec = DemoSpec { quiet: true, ..arguments.to_spec() };
+    let spec = DemoSpec { hides_progress: true, ..arguments.to_spec() };
     let figures = compare::compare(&spec);
     print_figures(arguments.json, &figures, &compare::to_table(&figures))
 }
--- a/standins/src/report.rs
+++ b/standins/src/report.rs
@@ -1,4 +1,4 @@
-//! Figures of a run of the load tool.
+//! Summary of the outcomes of a load.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,68 +11,69 @@
 use crate::load::{PlannedCall, RequestEnd, RequestOutcome};
 use crate::plain_server::OrderCounts;
 
-/// Longest prompt of a short request, in tokens.
-pub const SHORT: u64 = 4_000;
+/// Maximum prompt length of a short request, in tokens.
+pub const MAX_SHORT_TOKENS: u64 = 4_000;
 
-/// Times of one class of prompts, in milliseconds.
+/// Latency percentiles of a class of requests, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
-pub struct ClassTimes {
-    /// Requests.
+pub struct LatencySummary {
+    /// Number of requests.
     pub count: u64,
-    /// Half of them were faster.
+    /// Median.
     pub p50: f64,
-    /// 95 in 100 were faster.
+    /// 95th percentile.
     pub p95: f64,
-    /// 99 in 100 were faster.
+    /// 99th percentile.
     pub p99: f64,
 }
 
-/// Figures of a run.
+/// Results of a load.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct LoadReport {
-    /// Requests made.
+    /// Requests sent.
     pub requests: u64,
-    /// Whole and right answers.
+    /// Complete and correct answers.
     pub finished: u64,
-    /// Final failures other than refusals.
+    /// Failures other than refusals.
     pub failed: u64,
-    /// Refusals as not run.
+    /// Requests that an entry refused without executing them.
     pub refused: u64,
-    /// Requests without a final answer, and orders that were answered but not
-    /// run.
+    /// Requests without a final answer, and orders that were answered but not executed.
     pub lost: u64,
-    /// Orders that ran more than once, or ran though called not run.
+    /// Orders executed more than once, or executed although the verdict was `not-run`.
     pub doubled: u64,
-    /// Answers to another request.
+    /// Complete answers with a wrong text.
     pub mixed: u64,
-    /// Tokens that engines still hold at the end.
+    /// Tokens for which engines still hold memory at the end.
     pub leaked_tokens: u64,
-    /// Time to the first token by class of prompt length.
-    pub ttft_ms: BTreeMap<String, ClassTimes>,
-    /// 95th percentile of short prompts' time to the first token while long
-    /// ones ran, over that while none did.
+    /// Time to first token in milliseconds, by class of prompt length.
+    pub ttft_ms: BTreeMap<String, LatencySummary>,
+    /// Ratio of short prompts' p95 time to first token in the mixed phase to that in the quiet
+    /// phase, which has no long prompts.
     pub short_slowdown: f64,
-    /// Longest turn of any daemon's loop, in milliseconds.
-    pub loop_turn_max_ms: f64,
+    /// Longest iteration of any daemon's event loop, in milliseconds.
+    #[serde(rename = "loop_turn_max_ms")]
+    pub max_loop_iteration_ms: f64,
 }
 
-/// Percentiles of times.
+/// Computes the percentiles of a set of times. Times above one hour count as one hour.
 #[must_use]
-pub fn to_times(times: &[Duration]) -> ClassTimes {
-    const DIGITS: u8 = 3;
-    const MOST: u64 = 3_600_000_000;
-    let Ok(mut histogram) = Histogram::<u64>::new_with_bounds(1, MOST, DIGITS) else {
-        return ClassTimes::default();
+pub fn to_latency_summary(times: &[Duration]) -> LatencySummary {
+    const SIGNIFICANT_DIGITS: u8 = 3;
+    const MAX_MICROS: u64 = 3_600_000_000;
+    let Ok(mut histogram) = Histogram::<u64>::new_with_bounds(1, MAX_MICROS, SIGNIFICANT_DIGITS)
+    else {
+        return LatencySummary::default();
     };
     for time in times {
         histogram.saturating_record(time.as_micros() as u64);
     }
     let at = |quantile| histogram.value_at_quantile(quantile) as f64 / 1e3;
-    ClassTimes { count: histogram.len(), p50: at(0.5), p95: at(0.95), p99: at(0.99) }
+    LatencySummary { count: histogram.len(), p50: at(0.5), p95: at(0.95), p99: at(0.99) }
 }
 
 impl LoadReport {
-    /// Sums up what came of all requests.
+    /// Summarizes the outcomes of all requests. `orders` holds the executions of each order.
     #[must_use]
     pub fn from_outcomes(outcomes: &[RequestOutcome], orders: &OrderCounts) -> Self {
         let mut report = LoadReport { requests: outcomes.len() as u64, ..LoadReport::default() };
@@ -80,15 +81,18 @@
         for outcome in outcomes {
             report.count_end(outcome);
             report.count_order(outcome, orders);
-            let (PlannedCall::Model { tokens, .. }, Some(first)) =
-                (&outcome.planned.call, outcome.first)
+            let (PlannedCall::Model { prompt_tokens, .. }, Some(time_to_first_chunk)) =
+                (&outcome.planned.call, outcome.time_to_first_chunk)
             else {
                 continue;
             };
-            classes.entry(length_class(*tokens).to_owned()).or_default().push(first);
+            classes
+                .entry(length_class(*prompt_tokens).to_owned())
+                .or_default()
+                .push(time_to_first_chunk);
         }
         for (class, times) in classes {
-            report.ttft_ms.insert(class, to_times(&times));
+            report.ttft_ms.insert(class, to_latency_summary(&times));
         }
         report.short_slowdown = to_slowdown(outcomes);
         report
@@ -97,7 +101,7 @@
     fn count_end(&mut self, outcome: &RequestOutcome) {
         match &outcome.end {
             RequestEnd::Finished => self.finished += 1,
-            RequestEnd::Mixed => self.mixed += 1,
+            RequestEnd::WrongAnswer => self.mixed += 1,
             RequestEnd::Lost(_) => self.lost += 1,
             RequestEnd::Failed(status, verdict) => {
                 let is_refusal = verdict == "not-run"
@@ -118,24 +122,24 @@
         let PlannedCall::Order { order, .. } = &outcome.planned.call else {
             return;
         };
-        let runs = orders.get(order).copied().unwrap_or(0);
+        let executions = orders.get(order).copied().unwrap_or(0);
         let is_not_run =
             matches!(&outcome.end, RequestEnd::Failed(_, verdict) if verdict == "not-run");
-        if runs > 1 || (runs > 0 && is_not_run) {
+        if executions > 1 || (executions > 0 && is_not_run) {
             self.doubled += 1;
         }
-        if runs == 0 && outcome.end == RequestEnd::Finished {
+        if executions == 0 && outcome.end == RequestEnd::Finished {
             self.lost += 1;
         }
     }
 
-    /// Returns true where every promise was kept.
+    /// Returns `true` if no guarantee was broken and at least one request finished.
     #[must_use]
     pub fn is_clean(&self) -> bool {
         self.lost + self.doubled + self.mixed + self.leaked_tokens == 0 && self.finished > 0
     }
 
-    /// Writes the figures for a reader.
+    /// Formats the report as text.
     #[must_use]
     pub fn to_table(&self) -> String {
         use std::fmt::Write;
@@ -164,25 +168,28 @@
         }
         let _ = writeln!(
             text,
-            "\nslowdown of short prompts while long ones run: {:.2}\nlongest turn of a loop: {:.1} ms",
-            self.short_slowdown, self.loop_turn_max_ms
+            "\nslowdown of short prompts while long ones run: {:.2}\nlongest event loop iteration: {:.1} ms",
+            self.short_slowdown, self.max_loop_iteration_ms
         );
         text
     }
 }
 
-/// Times to the first token of prompts up to a length.
+/// Returns the times to first token of requests whose prompt has at most `max_tokens` tokens.
 #[must_use]
-pub fn short_firsts(outcomes: &[RequestOutcome], most: u64) -> Vec<Duration> {
-    let is_short = |outcome: &&RequestOutcome| matches!(outcome.planned.call, PlannedCall::Model { tokens, .. } if tokens <= most);
-    outcomes.iter().filter(is_short).filter_map(|outcome| outcome.first).collect()
+pub fn short_prompt_ttfts(outcomes: &[RequestOutcome], max_tokens: u64) -> Vec<Duration> {
+    let is_short = |outcome: &&RequestOutcome| matches!(outcome.planned.call, PlannedCall::Model { prompt_tokens, .. } if prompt_tokens <= max_tokens);
+    outcomes.iter().filter(is_short).filter_map(|outcome| outcome.time_to_first_chunk).collect()
 }
 
-/// Ratio of short prompts' p95 in the mixed phase over the quiet one.
+/// Returns the ratio of short prompts' p95 in the mixed phase to that in the quiet phase; 0 without
+/// a quiet phase.
 fn to_slowdown(outcomes: &[RequestOutcome]) -> f64 {
     let (quiet, mixed): (Vec<_>, Vec<_>) =
         outcomes.iter().cloned().partition(|outcome| outcome.planned.phase == 0);
-    let p95 = |part: &[RequestOutcome]| to_times(&short_firsts(part, SHORT)).p95;
+    let p95 = |part: &[RequestOutcome]| {
+        to_latency_summary(&short_prompt_ttfts(part, MAX_SHORT_TOKENS)).p95
+    };
     let (quiet, mixed) = (p95(&quiet), p95(&mixed));
     if quiet > 0.0 { mixed / quiet } else { 0.0 }
 }
--- a/standins/src/slopes.rs
+++ b/standins/src/slopes.rs
@@ -1,8 +1,7 @@
-//! Slopes: what one more request, target, account or change costs a node.
+//! Measures how the cost of a request, target, account or change grows with the size of the system.
 //!
-//! The cores are driven without sockets for processor time and memory, the
-//! frames are encoded for bytes, and a small fleet is driven over sockets for
-//! the processor time of a whole daemon.
+//! CPU time and memory are measured on the cores without sockets, and bytes on encoded frames. The
+//! CPU time of whole daemons is measured on a small fleet over sockets.
 
 use std::collections::BTreeMap;
 use std::hint::black_box;
@@ -27,32 +26,32 @@
 use crate::fleet::{Fleet, FleetSpec};
 use crate::load::{LoadCaller, PlannedCall, PlannedRequest};
 
-/// Bytes that TCP and IP put round a segment, without options.
-const SEGMENT: usize = 52;
+/// Bytes that TCP and IP add to a segment without options.
+const SEGMENT_OVERHEAD: usize = 52;
 
-/// Bytes that WebSocket puts round a small frame, mask included.
-const FRAME: usize = 6;
+/// Bytes that WebSocket adds to a small frame, including the mask.
+const FRAME_OVERHEAD: usize = 6;
 
-/// Reads how many bytes the program holds on its heap.
+/// Returns the number of bytes that the process has allocated on its heap.
 pub type HeapBytes = fn() -> usize;
 
-/// One figure at one size.
+/// Cost at one size.
 #[derive(Clone, Debug, Serialize)]
 pub struct SlopePoint {
-    /// What was counted, and at which size.
+    /// Size with its unit, or kind of the measured message.
     pub size: String,
-    /// The figure.
+    /// Measured cost, in the unit of the slope.
     pub value: f64,
 }
 
-/// A figure at several sizes.
+/// Cost at several sizes.
 #[derive(Clone, Debug, Serialize)]
 pub struct Slope {
-    /// What it is.
+    /// Description of the cost.
     pub name: &'static str,
-    /// Its unit.
+    /// Unit of the values, empty for counts.
     pub unit: &'static str,
-    /// The points.
+    /// Measured points.
     pub points: Vec<SlopePoint>,
 }
 
@@ -61,41 +60,48 @@
 pub fn measure(heap: HeapBytes) -> Vec<Slope> {
     let mut slopes = vec![
         slope("entry: core time of a request", "us", [240, 1_200, 2_400], "targets", |targets| {
-            entry_request(targets).0.as_secs_f64() * 1e6
+            entry_request_cost(targets).0.as_secs_f64() * 1e6
         }),
         slope("entry: probes of a short request", "", [240, 1_200, 2_400], "targets", |targets| {
-            entry_request(targets).1
+            entry_request_cost(targets).1
         }),
         slope(
             "entry: memory of the route table",
             "KiB",
             [240, 1_200, 2_400],
             "targets",
-            |targets| grown(heap, || new_entry(targets, 21)) / 1024.0,
+            |targets| heap_growth(heap, || new_entry(targets, 21)) / 1024.0,
         ),
         slope("entry: memory of the accounts", "KiB", [21, 105, 210], "accounts", |accounts| {
-            grown(heap, || AccountTable::from_config(&Arc::new(big_config(accounts)))) / 1024.0
+            heap_growth(heap, || AccountTable::from_config(&Arc::new(new_config(accounts))))
+                / 1024.0
         }),
         slope("entry: time to adopt a change", "us", [21, 105, 210], "accounts", |accounts| {
-            adopt_change(accounts).as_secs_f64() * 1e6
+            config_apply_time(accounts).as_secs_f64() * 1e6
         }),
-        slope("entry: bytes read for a change", "", [21, 105, 210], "accounts", change_bytes),
+        slope(
+            "entry: bytes read for a change",
+            "",
+            [21, 105, 210],
+            "accounts",
+            config_change_bytes,
+        ),
         slope(
             "entry: memory of a remembered request",
             "bytes",
             [256, 1_024, 2_048],
             "requests",
-            |n| remembered(heap, n),
+            |requests| memory_per_request(heap, requests),
         ),
         slope("agent: core time of a probe", "us", [0, 16, 64], "runs open", |runs| {
-            agent_probe(runs).as_secs_f64() * 1e6
+            agent_probe_time(runs).as_secs_f64() * 1e6
         }),
         slope("agent: core time of a run of 64 parts", "us", [0, 16, 64], "runs open", |runs| {
-            agent_run(runs).as_secs_f64() * 1e6
+            agent_run_time(runs).as_secs_f64() * 1e6
         }),
     ];
     slopes.push(frame_sizes());
-    slopes.extend(daemon_time());
+    slopes.extend(daemon_times());
     slopes
 }
 
@@ -103,22 +109,22 @@
     name: &'static str,
     unit: &'static str,
     sizes: [usize; N],
-    of: &str,
-    figure: impl Fn(usize) -> f64,
+    size_unit: &str,
+    measure_at: impl Fn(usize) -> f64,
 ) -> Slope {
-    let point = |size| SlopePoint { size: format!("{size} {of}"), value: figure(size) };
+    let point = |size| SlopePoint { size: format!("{size} {size_unit}"), value: measure_at(size) };
     Slope { name, unit, points: sizes.into_iter().map(point).collect() }
 }
 
-fn grown<T>(heap: HeapBytes, make: impl FnOnce() -> T) -> f64 {
+fn heap_growth<T>(heap: HeapBytes, build: impl FnOnce() -> T) -> f64 {
     let before = heap();
-    let built = make();
+    let built = build();
     let after = heap();
     drop(black_box(built));
     after.saturating_sub(before) as f64
 }
 
-/// Writes slopes for a reader.
+/// Formats slopes as text.
 #[must_use]
 pub fn to_table(slopes: &[Slope]) -> String {
     use std::fmt::Write;
@@ -133,7 +139,7 @@
     text
 }
 
-fn big_config(accounts: usize) -> Config {
+fn new_config(accounts: usize) -> Config {
     let base = Config::from_toml(include_str!("../../examples/valdivia.toml")).expect("an example");
     let template = base.client_accounts[0].clone();
     let client_accounts = (0..accounts).map(|number| {
@@ -145,16 +151,16 @@
     Config { version: ConfigVersion(1), client_accounts: client_accounts.collect(), ..base }
 }
 
-fn change_bytes(accounts: usize) -> f64 {
-    let (manifest, objects) = Manifest::from_config(&big_config(accounts), "0".repeat(16));
+fn config_change_bytes(accounts: usize) -> f64 {
+    let (manifest, objects) = Manifest::from_config(&new_config(accounts), "0".repeat(16));
     let manifest = serde_json::to_vec(&manifest).unwrap_or_default().len();
     let object = objects.last().map_or(0, |object| object.content.len());
     (manifest + object) as f64
 }
 
-fn adopt_change(accounts: usize) -> Duration {
+fn config_apply_time(accounts: usize) -> Duration {
     const ROUNDS: u32 = 50;
-    let config = big_config(accounts);
+    let config = new_config(accounts);
     let (manifest, objects) = Manifest::from_config(&config, String::new());
     let objects: BTreeMap<_, _> =
         objects.into_iter().map(|object| (object.hash, object.content)).collect();
@@ -180,16 +186,16 @@
     });
     let delta = HostDelta { revision: 1, hosts: hosts.collect() };
     core.on_event(Tick(0), entry::Event::Hosts(delta));
-    core.on_event(Tick(0), entry::Event::Config(Arc::new(big_config(accounts))));
+    core.on_event(Tick(0), entry::Event::Config(Arc::new(new_config(accounts))));
     core
 }
 
-fn policy() -> Rc<AccountPolicy> {
-    let table = AccountTable::from_config(&Arc::new(big_config(1)));
+fn sample_policy() -> Rc<AccountPolicy> {
+    let table = AccountTable::from_config(&Arc::new(new_config(1)));
     table.find("key-0").expect("an account")
 }
 
-fn arrival(number: u64, policy: &Rc<AccountPolicy>) -> Arrival {
+fn new_arrival(number: u64, policy: &Rc<AccountPolicy>) -> Arrival {
     let prompt = crate::prompt::make_prompt(2_000, number % 4, 1_000, number);
     let mut marks = MarkBuilder::new(&policy.name);
     marks.update(prompt.as_bytes());
@@ -206,81 +212,81 @@
     }
 }
 
-/// An agent that takes everything at once, to drive an entry's core.
-struct EasyAgents {
+/// Agents that accept every probe and answer every dispatch at once, to drive an entry's core.
+struct StubAgents {
     core: EntryCore,
     now: Tick,
     probes: u64,
-    up: std::collections::HashSet<Arc<str>>,
+    connected: std::collections::HashSet<Arc<str>>,
 }
 
-impl EasyAgents {
-    fn feed(&mut self, event: entry::Event) {
+impl StubAgents {
+    fn handle_event(&mut self, event: entry::Event) {
         self.now = self.now + Duration::from_micros(50);
         for effect in self.core.on_event(self.now, event) {
             if let entry::Effect::Send(target, message) = effect {
-                self.answer(target, message);
+                self.respond(target, message);
             }
         }
     }
 
-    fn answer(&mut self, target: Arc<str>, message: ToAgent) {
-        if self.up.insert(target.clone()) {
-            self.feed(entry::Event::AgentUp(target.clone(), Incarnation(1)));
+    fn respond(&mut self, target: Arc<str>, message: ToAgent) {
+        if self.connected.insert(target.clone()) {
+            self.handle_event(entry::Event::AgentUp(target.clone(), Incarnation(1)));
         }
         match message {
             ToAgent::Probe(probe) => {
                 self.probes += 1;
-                let answer = ProbeAnswer { number: probe.number, ..sample_answer() };
-                self.feed(entry::Event::Agent(target, ToEntry::ProbeAnswer(answer)));
+                let answer = ProbeAnswer { number: probe.number, ..sample_probe_answer() };
+                self.handle_event(entry::Event::Agent(target, ToEntry::ProbeAnswer(answer)));
             }
             ToAgent::Dispatch(dispatch) => {
                 let key = dispatch.attempt;
-                self.feed(entry::Event::Agent(target.clone(), ToEntry::Accepted(key)));
+                self.handle_event(entry::Event::Agent(target.clone(), ToEntry::Accepted(key)));
                 let text = "an answer of some length";
                 let chunk = ToEntry::Chunk { attempt: key, offset: 0, text: text.into() };
-                self.feed(entry::Event::Agent(target.clone(), chunk));
+                self.handle_event(entry::Event::Agent(target.clone(), chunk));
                 let done = Completion { length: text.len() as u64, ..Completion::default() };
-                self.feed(entry::Event::Agent(target, ToEntry::Done(key, done)));
+                self.handle_event(entry::Event::Agent(target, ToEntry::Done(key, done)));
             }
             _ => {}
         }
     }
 }
 
-fn easy_agents(targets: usize) -> EasyAgents {
+fn new_stub_agents(targets: usize) -> StubAgents {
     let core = new_entry(targets, 21);
-    EasyAgents { core, now: Tick(1), probes: 0, up: std::collections::HashSet::new() }
+    StubAgents { core, now: Tick(1), probes: 0, connected: std::collections::HashSet::new() }
 }
 
-/// Core time and probes of a short request.
-fn entry_request(targets: usize) -> (Duration, f64) {
+/// Returns the core's time per short request, and the probes per short request.
+fn entry_request_cost(targets: usize) -> (Duration, f64) {
     const ROUNDS: u64 = 2_000;
-    let policy = policy();
-    let arrivals: Vec<_> = (1..=ROUNDS).map(|number| arrival(number, &policy)).collect();
-    let mut agents = easy_agents(targets);
+    let policy = sample_policy();
+    let arrivals: Vec<_> = (1..=ROUNDS).map(|number| new_arrival(number, &policy)).collect();
+    let mut agents = new_stub_agents(targets);
     let start = Instant::now();
     for arrival in arrivals {
-        // One request at a time, a tenth of a second apart.
+        // Requests run one after the other, 100 ms apart.
         agents.now = agents.now + Duration::from_millis(100);
-        agents.feed(entry::Event::Arrive(Box::new(arrival)));
+        agents.handle_event(entry::Event::Arrive(Box::new(arrival)));
     }
     assert_eq!(agents.core.counts().finished, ROUNDS);
     (start.elapsed() / ROUNDS as u32, agents.probes as f64 / ROUNDS as f64)
 }
 
-fn remembered(heap: HeapBytes, requests: usize) -> f64 {
-    let policy = policy();
-    let mut agents = easy_agents(240);
+fn memory_per_request(heap: HeapBytes, requests: usize) -> f64 {
+    let policy = sample_policy();
+    let mut agents = new_stub_agents(240);
     let before = heap();
     for number in 1..=requests as u64 {
         agents.now = agents.now + Duration::from_millis(100);
-        agents.feed(entry::Event::Arrive(Box::new(arrival(number, &policy))));
+        agents.handle_event(entry::Event::Arrive(Box::new(new_arrival(number, &policy))));
     }
     heap().saturating_sub(before) as f64 / requests as f64
 }
 
-fn sample_answer() -> ProbeAnswer {
+fn sample_probe_answer() -> ProbeAnswer {
     ProbeAnswer {
         number: 1_000_000,
         open: true,
@@ -343,7 +349,7 @@
     }
 }
 
-fn agent_probe(runs: usize) -> Duration {
+fn agent_probe_time(runs: usize) -> Duration {
     const ROUNDS: u32 = 20_000;
     let mut core = new_agent();
     open_runs(&mut core, runs);
@@ -366,9 +372,9 @@
     }
 }
 
-fn agent_run(runs: usize) -> Duration {
+fn agent_run_time(runs: usize) -> Duration {
     const ROUNDS: u64 = 2_000;
-    const PARTS: usize = 64;
+    const CHUNKS: usize = 64;
     let mut core = new_agent();
     open_runs(&mut core, runs);
     let owner = ProcessId { name: "entry".into(), incarnation: Incarnation(1) };
@@ -378,7 +384,7 @@
         let id = shalelane::AttemptId { owner: owner.clone(), key };
         let dispatch = ToAgent::Dispatch(sample_dispatch(number));
         core.on_event(Tick(2), agent::Event::Peer(ConnId(1), dispatch));
-        for _ in 0..PARTS {
+        for _ in 0..CHUNKS {
             let text = RunEvent::Text("a part ".into());
             black_box(core.on_event(Tick(3), agent::Event::Run(id.clone(), text)));
         }
@@ -388,12 +394,12 @@
     start.elapsed() / ROUNDS as u32
 }
 
-/// Bytes of messages on the wire, with the frames of WebSocket, TCP and IP.
+/// Measures messages in bytes on the wire, including the overhead of WebSocket, TCP and IP.
 fn frame_sizes() -> Slope {
-    let on_wire = |frame: usize| (frame + FRAME + SEGMENT) as f64;
+    let on_wire = |frame: usize| (frame + FRAME_OVERHEAD + SEGMENT_OVERHEAD) as f64;
     let point = |size: &str, frame: usize| SlopePoint { size: size.into(), value: on_wire(frame) };
     let probe = |tokens| ToAgent::Probe(sample_probe(tokens)).to_frame().len();
-    let answer = ToEntry::ProbeAnswer(sample_answer()).to_frame().len();
+    let answer = ToEntry::ProbeAnswer(sample_probe_answer()).to_frame().len();
     let dispatch = ToAgent::Dispatch(sample_dispatch(1_000_000)).to_frame().len();
     let accepted = ToEntry::Accepted(AttemptKey(1_000_000, 1)).to_frame().len();
     let completion =
@@ -414,63 +420,64 @@
     }
 }
 
-/// Processor time of whole daemons over sockets, by thread.
-fn daemon_time() -> Vec<Slope> {
-    let mut entry = Vec::new();
-    let mut agent = Vec::new();
+/// Measures the CPU time of whole daemons over sockets, by thread.
+fn daemon_times() -> Vec<Slope> {
+    let mut entry_points = Vec::new();
+    let mut agent_points = Vec::new();
     for requests in [100_u64, 200, 400] {
-        let (of_entry, of_agents) = drive_fleet(requests);
+        let (entry_time, agent_time) = measure_fleet(requests);
         let size = format!("{requests} requests of 2,000 tokens");
-        let point = |span: Duration| SlopePoint {
+        let point = |cpu_time: Duration| SlopePoint {
             size: size.clone(),
-            value: span.as_secs_f64() * 1e6 / requests as f64,
+            value: cpu_time.as_secs_f64() * 1e6 / requests as f64,
         };
-        entry.push(point(of_entry));
-        agent.push(point(of_agents));
+        entry_points.push(point(entry_time));
+        agent_points.push(point(agent_time));
     }
     vec![
         Slope {
             name: "entry: processor time of a request over sockets",
             unit: "us",
-            points: entry,
+            points: entry_points,
         },
         Slope {
             name: "agents: processor time of a request over sockets",
             unit: "us",
-            points: agent,
+            points: agent_points,
         },
     ]
 }
 
-fn drive_fleet(requests: u64) -> (Duration, Duration) {
+fn measure_fleet(requests: u64) -> (Duration, Duration) {
     let engine = EngineSpec { time_scale: 50.0, ..EngineSpec::default() };
     let spec = FleetSpec { engine, ..demo_fleet(&DemoSpec { engines: 4, ..DemoSpec::default() }) };
     let mut fleet = Fleet::start(&spec);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let spent = runtime.expect("runtime").block_on(tokio::task::LocalSet::new().run_until(async {
-        apply_config(&fleet, include_str!("../../examples/valdivia.toml")).await;
-        wait_ready(&fleet, Duration::from_secs(10)).await;
-        let before = (thread_time("entry-"), thread_time("runner-"));
-        drive_load(&fleet, requests).await;
-        (
-            thread_time("entry-").saturating_sub(before.0),
-            thread_time("runner-").saturating_sub(before.1),
-        )
-    }));
+    let cpu_times =
+        runtime.expect("runtime").block_on(tokio::task::LocalSet::new().run_until(async {
+            apply_config(&fleet, include_str!("../../examples/valdivia.toml")).await;
+            wait_ready(&fleet, Duration::from_secs(10)).await;
+            let before = (thread_time("entry-"), thread_time("runner-"));
+            send_load(&fleet, requests).await;
+            (
+                thread_time("entry-").saturating_sub(before.0),
+                thread_time("runner-").saturating_sub(before.1),
+            )
+        }));
     fleet.stop();
-    spent
+    cpu_times
 }
 
-async fn drive_load(fleet: &Fleet, requests: u64) {
+async fn send_load(fleet: &Fleet, requests: u64) {
     let addresses = fleet.entries.iter().map(|entry| entry.callers).collect();
     let caller = LoadCaller::new(addresses, "booking-app", "canal-8b", Duration::from_secs(30));
     for seed in 0..requests {
         let call = PlannedCall::Model {
-            tokens: 2_000,
-            answer: 32,
+            prompt_tokens: 2_000,
+            answer_tokens: 32,
             family: seed % 4,
-            stream: true,
-            repeatable: true,
+            is_stream: true,
+            is_repeatable: true,
         };
         let account = "quay-kiosks".to_owned();
         let planned = PlannedRequest { at: Duration::ZERO, account, call, seed, phase: 0 };
@@ -478,14 +485,16 @@
     }
 }
 
-/// Processor time of all threads of this process whose name begins so.
+/// Returns the CPU time of all threads of this process whose name begins with `prefix`.
+///
+/// Returns zero on systems without `/proc`.
 fn thread_time(prefix: &str) -> Duration {
     let Ok(tasks) = std::fs::read_dir("/proc/self/task") else { return Duration::ZERO };
-    let spans = tasks.flatten().filter_map(|task| {
+    let cpu_times = tasks.flatten().filter_map(|task| {
         let name = std::fs::read_to_string(task.path().join("comm")).ok()?;
         let stat = std::fs::read_to_string(task.path().join("schedstat")).ok()?;
         let nanos = stat.split_whitespace().next()?.parse().ok()?;
         name.starts_with(prefix).then(|| Duration::from_nanos(nanos))
     });
-    spans.sum()
+    cpu_times.sum()
 }
--- a/standins/tests/demo.rs
+++ b/standins/tests/demo.rs
@@ -1,15 +1,15 @@
-//! The main job keeps its promises.
+//! The demo's fleet under load, over real sockets.
 
 use standins::demo::{DemoSpec, run};
 
 #[test]
-fn keeps_every_promise_under_a_mixed_load() {
+fn mixed_load_breaks_no_guarantee() {
     let spec = DemoSpec {
         seed: 7,
         requests: 60,
         time_scale: 8.0,
         engines: 5,
-        quiet: true,
+        hides_progress: true,
         ..DemoSpec::default()
     };
     println!("seed {}", spec.seed);
