--- a/standins/src/slopes.rs
+++ b/standins/src/slopes.rs
@@ -118,9 +118,9 @@
 
 fn heap_growth<T>(heap: HeapBytes, build: impl FnOnce() -> T) -> f64 {
     let before = heap();
-    let built = build();
+    let value = build();
     let after = heap();
-    drop(black_box(built));
+    drop(black_box(value));
     after.saturating_sub(before) as f64
 }
 
