--- a/standins/src/chaos/agents.rs
+++ b/standins/src/chaos/agents.rs
@@ -48,7 +48,7 @@
             agent::Effect::Start(start) => EngineCall::Start(start),
             agent::Effect::Resume(id, limit) => EngineCall::Resume(id, limit),
             agent::Effect::Cancel(id) => EngineCall::Cancel(id),
-            agent::Effect::CancelStray(id) => EngineCall::CancelOrphan(id),
+            agent::Effect::CancelOrphan(id) => EngineCall::CancelOrphan(id),
             agent::Effect::Reserve(id, tokens) => EngineCall::Reserve(id, tokens),
             agent::Effect::Unreserve(id) => EngineCall::Unreserve(id),
         };
--- a/standins/src/chaos/arrivals.rs
+++ b/standins/src/chaos/arrivals.rs
@@ -41,7 +41,7 @@
         if self.is_fault_free {
             self.schedule_at(self.now + CANCEL_BOUND, Action::CheckCancelled(id.clone()));
         }
-        let event = Box::new(entry::Event::CallerGone(id.number));
+        let event = Box::new(entry::Event::CallerDisconnected(id.number));
         self.schedule_at(self.now, Action::Entry { entry, incarnation, event });
     }
 
--- a/standins/src/chaos/links.rs
+++ b/standins/src/chaos/links.rs
@@ -102,7 +102,7 @@
             return;
         }
         let (entry, incarnation) = (state.entry, state.entry_incarnation);
-        let event = Box::new(entry::Event::Agent(agent_name(state.agent), message));
+        let event = Box::new(entry::Event::AgentMessage(agent_name(state.agent), message));
         self.schedule_at(self.now, Action::Entry { entry, incarnation, event });
     }
 
--- a/standins/src/chaos/mod.rs
+++ b/standins/src/chaos/mod.rs
@@ -41,7 +41,7 @@
         let text = panic.downcast_ref::<String>().cloned();
         let text = text.or_else(|| panic.downcast_ref::<&str>().map(|text| (*text).to_owned()));
         let broken = vec![text.unwrap_or_else(|| "a core panicked".to_owned())];
-        ChaosOutcome { broken, ..ChaosOutcome::default() }
+        ChaosOutcome { violations: broken, ..ChaosOutcome::default() }
     });
     outcome.log = log.take().into();
     outcome
@@ -55,7 +55,7 @@
     /// Number of failed requests.
     pub failed: usize,
     /// Lowest seed found whose run violated a guarantee, with its outcome.
-    pub broken: Option<(u64, ChaosOutcome)>,
+    pub violating_run: Option<(u64, ChaosOutcome)>,
 }
 
 /// Executes the runs of the seeds from `first` up to, but not including, `end` on all processors.
@@ -85,11 +85,11 @@
         let Ok(mut sum) = sum.lock() else { return };
         sum.finished += outcome.finished;
         sum.failed += outcome.failed;
-        let is_lower = sum.broken.as_ref().is_none_or(|(other, _)| seed < *other);
-        if !outcome.broken.is_empty() && is_lower {
-            sum.broken = Some((seed, outcome));
+        let is_lower = sum.violating_run.as_ref().is_none_or(|(other, _)| seed < *other);
+        if !outcome.violations.is_empty() && is_lower {
+            sum.violating_run = Some((seed, outcome));
         }
-        if sum.broken.is_some() {
+        if sum.violating_run.is_some() {
             return;
         }
     }
--- a/standins/src/chaos/world.rs
+++ b/standins/src/chaos/world.rs
@@ -182,7 +182,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct ChaosOutcome {
     /// Descriptions of violated guarantees.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     /// Last lines of the log.
     pub log: Vec<String>,
     /// Number of requests with a complete answer.
@@ -226,7 +226,7 @@
 "#;
 
 pub(super) fn chaos_config(version: u64) -> Config {
-    let text = CONFIG.replace("SHORT", &to_key("short")).replace("LONG", &to_key("long"));
+    let text = CONFIG.replace("SHORT", &to_key_hash("short")).replace("LONG", &to_key_hash("long"));
     let config = Config::from_toml(&text).expect("the configuration is valid");
     Config { version: ConfigVersion(version), ..config }
 }
@@ -333,7 +333,7 @@
         let (finished, failed) = (count_results(true), count_results(false));
         let mut broken = self.violations;
         broken.extend(self.callers.violations);
-        ChaosOutcome { broken, log: Vec::new(), finished, failed }
+        ChaosOutcome { violations: broken, log: Vec::new(), finished, failed }
     }
 
     pub(super) fn schedule_at(&mut self, at: Tick, action: Action) {
--- a/standins/src/demo.rs
+++ b/standins/src/demo.rs
@@ -188,7 +188,7 @@
 }
 
 async fn send_load(fleet: &Fleet, spec: &DemoSpec) -> Vec<RequestOutcome> {
-    let addresses = fleet.entries.iter().map(|entry| entry.callers).collect();
+    let addresses = fleet.entries.iter().map(|entry| entry.caller_address).collect();
     let timeout = Duration::from_secs(120);
     let caller = Rc::new(LoadCaller::new(addresses, "booking-app", "canal-8b", timeout));
     let progress = new_progress(spec);
@@ -252,7 +252,7 @@
         loop {
             assert!(start.elapsed() < timeout, "entry not ready within {timeout:?}");
             let get = |path: &str| {
-                let uri = format!("http://{}{path}", entry.callers).parse().expect("a uri");
+                let uri = format!("http://{}{path}", entry.caller_address).parse().expect("a uri");
                 client.get(uri)
             };
             let ready = get("/readyz").await.is_ok_and(|response| response.status().is_success());
--- a/standins/src/fleet.rs
+++ b/standins/src/fleet.rs
@@ -105,7 +105,7 @@
 #[derive(Debug)]
 pub struct EntryThread {
     /// Address that serves callers.
-    pub callers: SocketAddr,
+    pub caller_address: SocketAddr,
     /// Address of the admin API.
     pub admin_address: SocketAddr,
     /// The daemon.
@@ -175,7 +175,7 @@
         daemon.run(stop_requested(stop)).await.expect("entry")
     });
     let (callers, admin_address) = address.recv().expect("entry");
-    EntryThread { callers, admin_address, daemon }
+    EntryThread { caller_address: callers, admin_address, daemon }
 }
 
 /// Starts an agent on free loopback ports.
--- a/standins/src/lanes.rs
+++ b/standins/src/lanes.rs
@@ -109,7 +109,7 @@
     long_requests: u64,
     seed: u64,
 ) -> Vec<RequestOutcome> {
-    let addresses = fleet.entries.iter().map(|entry| entry.callers).collect();
+    let addresses = fleet.entries.iter().map(|entry| entry.caller_address).collect();
     let timeout = Duration::from_secs(120);
     let caller = Rc::new(LoadCaller::new(addresses, "booking-app", "canal-8b", timeout));
     let load_start = Instant::now();
--- a/standins/src/main.rs
+++ b/standins/src/main.rs
@@ -190,12 +190,12 @@
         apply_config(&fleet, include_str!("../../examples/valdivia.toml")).await;
         wait_ready(&fleet, Duration::from_secs(10)).await;
         let entry = &fleet.entries[0];
-        println!("callers {}, operators {}, key {ADMIN_KEY}", entry.callers, entry.admin_address);
+        println!("callers {}, operators {}, key {ADMIN_KEY}", entry.caller_address, entry.admin_address);
         println!(
             "curl -N http://{}/v1/completions -H 'Authorization: Bearer demo-quay-kiosks' \
              -d '{{\"model\": \"canal-8b\", \"prompt\": \"Which boats leave at noon?\", \
              \"max_tokens\": 8, \"stream\": true}}'",
-            entry.callers
+            entry.caller_address
         );
         shalelane::program::wait_for_stop().await;
     });
@@ -211,7 +211,7 @@
         return run_mutants(first, end);
     }
     match run_seeds(first, end, None) {
-        SeedsOutcome { broken: Some((seed, outcome)), .. } => {
+        SeedsOutcome { violating_run: Some((seed, outcome)), .. } => {
             print_broken_run(seed, &outcome);
             ExitCode::FAILURE
         }
@@ -265,7 +265,7 @@
         println!("{line}");
     }
     println!("{:#?}", ChaosPlan::from_seed(seed).faults);
-    for line in &outcome.broken {
+    for line in &outcome.violations {
         println!("seed {seed}: {line}");
     }
 }
@@ -274,10 +274,10 @@
     std::panic::set_hook(Box::new(|_| {}));
     let mut is_any_missed = false;
     for mutant in Mutant::ALL {
-        let detected_by = run_seeds(first, end, Some(mutant)).broken;
+        let detected_by = run_seeds(first, end, Some(mutant)).violating_run;
         match &detected_by {
             Some((seed, outcome)) => {
-                println!("{mutant:?}: caught by seed {seed}: {}", outcome.broken[0]);
+                println!("{mutant:?}: caught by seed {seed}: {}", outcome.violations[0]);
             }
             None => println!("{mutant:?}: missed"),
         }
--- a/standins/src/overload.rs
+++ b/standins/src/overload.rs
@@ -83,7 +83,7 @@
 
 async fn send_load(fleet: &Fleet, load: f64, seed: u64) -> Vec<RequestOutcome> {
     let mut rng = StdRng::seed_from_u64(seed);
-    let addresses = fleet.entries.iter().map(|entry| entry.callers).collect();
+    let addresses = fleet.entries.iter().map(|entry| entry.caller_address).collect();
     let timeout = Duration::from_secs(60);
     let caller = Rc::new(LoadCaller::new(addresses, "booking-app", "canal-8b", timeout));
     let count = (LOAD_DURATION.as_secs_f64() * CAPACITY_RATE * load) as u32;
--- a/standins/src/plain_server.rs
+++ b/standins/src/plain_server.rs
@@ -60,7 +60,7 @@
 
     /// Stops the service and reserves its port, which then refuses connections.
     #[must_use]
-    pub fn refuse(&mut self) -> ReservedPort {
+    pub fn stop_and_reserve_port(&mut self) -> ReservedPort {
         let reserved = ReservedPort::new(self.server.address);
         self.server.stop();
         reserved
--- a/standins/src/proxy.rs
+++ b/standins/src/proxy.rs
@@ -61,7 +61,7 @@
     }
 
     /// Closes all connections.
-    pub fn cut(&self) {
+    pub fn close_connections(&self) {
         self.cut_sender.send_modify(|count| *count += 1);
     }
 }
--- a/standins/src/slopes.rs
+++ b/standins/src/slopes.rs
@@ -238,16 +238,16 @@
             ToAgent::Probe(probe) => {
                 self.probes += 1;
                 let answer = ProbeAnswer { number: probe.number, ..sample_probe_answer() };
-                self.handle_event(entry::Event::Agent(target, ToEntry::ProbeAnswer(answer)));
+                self.handle_event(entry::Event::AgentMessage(target, ToEntry::ProbeAnswer(answer)));
             }
             ToAgent::Dispatch(dispatch) => {
                 let key = dispatch.attempt;
-                self.handle_event(entry::Event::Agent(target.clone(), ToEntry::Accepted(key)));
+                self.handle_event(entry::Event::AgentMessage(target.clone(), ToEntry::Accepted(key)));
                 let text = "an answer of some length";
                 let chunk = ToEntry::Chunk { attempt: key, offset: 0, text: text.into() };
-                self.handle_event(entry::Event::Agent(target.clone(), chunk));
+                self.handle_event(entry::Event::AgentMessage(target.clone(), chunk));
                 let done = Completion { length: text.len() as u64, ..Completion::default() };
-                self.handle_event(entry::Event::Agent(target, ToEntry::Done(key, done)));
+                self.handle_event(entry::Event::AgentMessage(target, ToEntry::Done(key, done)));
             }
             _ => {}
         }
@@ -469,7 +469,7 @@
 }
 
 async fn send_load(fleet: &Fleet, requests: u64) {
-    let addresses = fleet.entries.iter().map(|entry| entry.callers).collect();
+    let addresses = fleet.entries.iter().map(|entry| entry.caller_address).collect();
     let caller = LoadCaller::new(addresses, "booking-app", "canal-8b", Duration::from_secs(30));
     for seed in 0..requests {
         let call = PlannedCall::Model {
--- a/standins/src/store_server.rs
+++ b/standins/src/store_server.rs
@@ -134,7 +134,7 @@
 
     /// Returns a snapshot of the present content.
     #[must_use]
-    pub fn to_copy(&self) -> StoreSnapshot {
+    pub fn to_snapshot(&self) -> StoreSnapshot {
         lock(&self.state).content.clone()
     }
 
@@ -173,7 +173,7 @@
         Method::PUT => write(&state, &changed, &name, request).await,
         _ => Some(reply(StatusCode::METHOD_NOT_ALLOWED, "")),
     }?;
-    reply.headers_mut().insert(STORE_EPOCH, HeaderValue::from(epoch));
+    reply.headers_mut().insert(STORE_EPOCH_HEADER, HeaderValue::from(epoch));
     // A restore during the call discards its response.
     (lock(&state).epoch == epoch).then_some(reply)
 }
--- a/standins/tests/chaos.rs
+++ b/standins/tests/chaos.rs
@@ -14,7 +14,7 @@
 fn fixed_seeds_violate_no_guarantee() {
     println!("seeds 0..{SEEDS}");
     let outcome = run_seeds(0, SEEDS, None);
-    assert!(outcome.broken.is_none(), "{:?}", outcome.broken.map(|(seed, run)| (seed, run.broken)));
+    assert!(outcome.violating_run.is_none(), "{:?}", outcome.violating_run.map(|(seed, run)| (seed, run.violations)));
     assert!(outcome.finished > 40 * SEEDS as usize, "{} requests finished", outcome.finished);
 }
 
@@ -28,7 +28,7 @@
 /// took the end of the first pause as the time at which the agent received its drain.
 #[test]
 fn a_drain_starts_when_its_agent_receives_it() {
-    let violations = run_plan(&ChaosPlan::from_seed(2_448_314_608)).broken;
+    let violations = run_plan(&ChaosPlan::from_seed(2_448_314_608)).violations;
     assert!(violations.is_empty(), "{violations:?}");
 }
 
@@ -36,7 +36,7 @@
 fn generated_plans_violate_no_guarantee() {
     const SEED: u64 = 20_261_202;
     println!("seed {SEED}");
-    let is_clean = |plan: ChaosPlan| run_plan(&plan).broken.is_empty();
+    let is_clean = |plan: ChaosPlan| run_plan(&plan).violations.is_empty();
     let generator = Gen::from_size_and_seed(100, SEED);
     QuickCheck::new().rng(generator).tests(60).quickcheck(is_clean as fn(ChaosPlan) -> bool);
 }
@@ -46,7 +46,7 @@
     // This test provokes panics of the checks, so their output is suppressed.
     std::panic::set_hook(Box::new(|_| {}));
     for mutant in Mutant::ALL {
-        let detected = run_seeds(0, MUTANT_SEEDS, Some(mutant)).broken;
+        let detected = run_seeds(0, MUTANT_SEEDS, Some(mutant)).violating_run;
         assert!(detected.is_some(), "mutant {mutant:?} was not detected");
     }
 }
--- a/standins/tests/ports.rs
+++ b/standins/tests/ports.rs
@@ -23,7 +23,7 @@
         bound_count
     });
     for _ in 0..ROUNDS {
-        let reserved = server.refuse();
+        let reserved = server.stop_and_reserve_port();
         server.restart(reserved);
     }
     is_finished.store(true, Ordering::Relaxed);
--- a/tests/claims_rewrite.rs
+++ b/tests/claims_rewrite.rs
@@ -40,7 +40,7 @@
 
 async fn rewrite() {
     let store = StoreServer::start();
-    let copy = store.to_copy();
+    let copy = store.to_snapshot();
     let entries: Vec<_> = (0..ENTRIES).map(|_| ClaimEntry::new(&store)).collect();
     assert_eq!(entries[0].claim("first").await, ClaimOutcome::Won);
     for entry in &entries[1..] {
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -39,7 +39,7 @@
         open(site.callers(0), completion("pier-app", &prompt, 80)).await.expect("head");
     next_part(&mut stream).await.expect("a first part");
     for _ in 0..3 {
-        site.agents[0].proxy.cut();
+        site.agents[0].proxy.close_connections();
         next_part(&mut stream).await.expect("a further part");
     }
     let text = finish(stream).await.expect("the rest");
@@ -96,7 +96,7 @@
 #[tokio::test]
 async fn an_order_that_can_not_be_sent_was_not_run() {
     let mut site = Site::start(1, 1, EngineSpec::default()).await;
-    let _port = site.plain.refuse();
+    let _port = site.plain.stop_and_reserve_port();
     let answer = call(site.callers(0), order("boat-9")).await.expect("answer");
     assert_eq!((answer.status, answer.verdict.as_str()), (503, "not-run"));
     assert!(!answer.retry_after.is_empty());
@@ -285,7 +285,7 @@
 #[tokio::test]
 async fn a_key_whose_request_was_not_run_is_free_again() {
     let mut site = Site::start(1, 1, EngineSpec::default()).await;
-    let port = site.plain.refuse();
+    let port = site.plain.stop_and_reserve_port();
     let refused = call(site.callers(0), keyed_order("boat-1", "key")).await.expect("answer");
     assert_eq!((refused.status, refused.verdict.as_str()), (503, "not-run"));
     site.plain.restart(port);
--- a/tests/regression/cancel_overtakes_start.rs
+++ b/tests/regression/cancel_overtakes_start.rs
@@ -18,7 +18,7 @@
     // The engine sees a call that starts a run only after a delay.
     let start_lag = Duration::from_millis(600);
     fleet.engines[0].fault.lock().expect("fault").start_lag = start_lag;
-    let address = fleet.entries[0].callers;
+    let address = fleet.entries[0].caller_address;
     let call = tokio::spawn(open(address, completion("pier-app", "A long story?", 20_000)));
     let arrived = || fleet.engines[0].calls_arrived() > 0;
     wait_for(arrived).await;
--- a/tests/restored_store.rs
+++ b/tests/restored_store.rs
@@ -21,7 +21,7 @@
 #[tokio::test]
 async fn a_key_runs_once_although_its_claim_was_lost() {
     let site = Site::start(2, 1, EngineSpec::default()).await;
-    let copy = site.store.to_copy();
+    let copy = site.store.to_snapshot();
     let first = call(site.callers(0), keyed_order("boat-1", "key")).await.expect("answer");
     assert_eq!(first.status, 200);
     site.store.restore(copy);
@@ -45,7 +45,7 @@
     let mut site = Site::start(1, 1, EngineSpec::default()).await;
     let early = call(site.callers(0), keyed_order("boat-0", "early")).await.expect("answer");
     assert_eq!(early.status, 200);
-    let copy = site.store.to_copy();
+    let copy = site.store.to_snapshot();
     let first = call(site.callers(0), keyed_order("boat-1", "key")).await.expect("answer");
     assert_eq!(first.status, 200);
     site.entries[0].freeze(true);
@@ -73,7 +73,7 @@
         let answer = call(site.callers(0), keyed_order(&boat, &key)).await.expect("answer");
         assert_eq!(answer.status, 200);
     }
-    let copy = site.store.to_copy();
+    let copy = site.store.to_snapshot();
     for number in 0..40 {
         let (boat, key) = (format!("lost-{number}"), format!("lost-{number}"));
         call(site.callers(0), keyed_order(&boat, &key)).await.expect("answer");
@@ -100,7 +100,7 @@
 #[tokio::test]
 async fn a_configuration_lost_by_the_store_stays_in_force_and_can_be_replaced() {
     let site = Site::start(2, 1, EngineSpec::default()).await;
-    let copy = site.store.to_copy();
+    let copy = site.store.to_snapshot();
     let second = VALDIVIA.replace("weight = 3", "weight = 4");
     let applied = site.apply(&second, version(&site, 0).await).await;
     assert_eq!(applied.status, 200);
