--- a/standins/src/caller.rs
+++ b/standins/src/caller.rs
@@ -111,7 +111,7 @@
 }
 
 /// Reads the next chunk of a stream. Returns `None` at its end, on failure and on time-out.
-pub async fn next_part(call: &mut OpenCall) -> Option<Bytes> {
+pub async fn next_chunk(call: &mut OpenCall) -> Option<Bytes> {
     let frame =
         tokio::time::timeout(CALL_TIMEOUT, call.response.body_mut().frame()).await.ok()??;
     frame.ok()?.into_data().ok()
--- a/standins/src/main.rs
+++ b/standins/src/main.rs
@@ -190,7 +190,10 @@
         apply_config(&fleet, include_str!("../../examples/valdivia.toml")).await;
         wait_ready(&fleet, Duration::from_secs(10)).await;
         let entry = &fleet.entries[0];
-        println!("callers {}, operators {}, key {ADMIN_KEY}", entry.caller_address, entry.admin_address);
+        println!(
+            "callers {}, operators {}, key {ADMIN_KEY}",
+            entry.caller_address, entry.admin_address
+        );
         println!(
             "curl -N http://{}/v1/completions -H 'Authorization: Bearer demo-quay-kiosks' \
              -d '{{\"model\": \"canal-8b\", \"prompt\": \"Which boats leave at noon?\", \
--- a/standins/src/slopes.rs
+++ b/standins/src/slopes.rs
@@ -242,7 +242,10 @@
             }
             ToAgent::Dispatch(dispatch) => {
                 let key = dispatch.attempt;
-                self.handle_event(entry::Event::AgentMessage(target.clone(), ToEntry::Accepted(key)));
+                self.handle_event(entry::Event::AgentMessage(
+                    target.clone(),
+                    ToEntry::Accepted(key),
+                ));
                 let text = "an answer of some length";
                 let chunk = ToEntry::Chunk { attempt: key, offset: 0, text: text.into() };
                 self.handle_event(entry::Event::AgentMessage(target.clone(), chunk));
--- a/standins/tests/chaos.rs
+++ b/standins/tests/chaos.rs
@@ -14,7 +14,11 @@
 fn fixed_seeds_violate_no_guarantee() {
     println!("seeds 0..{SEEDS}");
     let outcome = run_seeds(0, SEEDS, None);
-    assert!(outcome.violating_run.is_none(), "{:?}", outcome.violating_run.map(|(seed, run)| (seed, run.violations)));
+    assert!(
+        outcome.violating_run.is_none(),
+        "{:?}",
+        outcome.violating_run.map(|(seed, run)| (seed, run.violations))
+    );
     assert!(outcome.finished > 40 * SEEDS as usize, "{} requests finished", outcome.finished);
 }
 
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use standins::caller::{call, completion, finish, next_part, open, order, request};
+use standins::caller::{call, completion, finish, next_chunk, open, order, request};
 use standins::engine_model::EngineSpec;
 use standins::plain_server::PlainFault;
 use standins::prompt::{make_prompt, prompt_hash, whole_answer};
@@ -37,10 +37,10 @@
     let prompt = make_prompt(200, 1, 0, 1);
     let mut stream =
         open(site.callers(0), completion("pier-app", &prompt, 80)).await.expect("head");
-    next_part(&mut stream).await.expect("a first part");
+    next_chunk(&mut stream).await.expect("a first part");
     for _ in 0..3 {
         site.agents[0].proxy.close_connections();
-        next_part(&mut stream).await.expect("a further part");
+        next_chunk(&mut stream).await.expect("a further part");
     }
     let text = finish(stream).await.expect("the rest");
     assert!(text.is_done());
@@ -128,7 +128,7 @@
     let prompt = make_prompt(1_000, 1, 0, 3);
     let request = completion("pier-app", &prompt, 20_000);
     let mut stream = open(site.callers(0), request).await.expect("head");
-    next_part(&mut stream).await.expect("a first part");
+    next_chunk(&mut stream).await.expect("a first part");
     assert!(site.held_tokens() > 0);
     drop(stream);
     site.wait_memory_released().await;
@@ -140,7 +140,7 @@
     let prompt = make_prompt(200, 1, 0, 4);
     let mut stream =
         open(site.callers(0), completion("pier-app", &prompt, 60)).await.expect("head");
-    next_part(&mut stream).await.expect("a first part");
+    next_chunk(&mut stream).await.expect("a first part");
     site.entries[0].request_stop();
     let address = site.callers(0);
     wait_until("the entry reports that it is not ready", async || {
@@ -160,7 +160,7 @@
     let prompt = make_prompt(200, 1, 0, 5);
     let mut stream =
         open(site.callers(0), completion("pier-app", &prompt, 100)).await.expect("head");
-    next_part(&mut stream).await.expect("a first part");
+    next_chunk(&mut stream).await.expect("a first part");
     let busy = site.engines.iter().position(|engine| engine.used() > 0).expect("a busy engine");
     site.agents[busy].process.request_stop();
     // The platform's list still shows the target as live.
