--- a/src/relay/discovery/follow_config.rs
+++ b/src/relay/discovery/follow_config.rs
@@ -113,7 +113,7 @@
     shared.counts.borrow().record_store_call(StoreCall::EvacuationRead);
     let (read, list) = (read?, list?);
     if read.as_ref().is_some_and(|read| read.store_revision.epoch != list.epoch) {
-        return Err(Error::from_answer(
+        return Err(Error::from_response(
             200,
             "the store was restored from a backup during the read",
         ));
@@ -227,8 +227,8 @@
 fn announce_change(shared: &RelayShared) {
     let delta = shared.core.borrow_mut().take_config_change();
     let core = shared.core.borrow();
-    let share = core.target_list_sync();
-    let is_announcer = share.is_watching() && share.should_announce(rand::random());
+    let sync = core.target_list_sync();
+    let is_announcer = sync.is_watching() && sync.should_announce(rand::random());
     let Some(delta) = delta.filter(|_| is_announcer) else { return };
     if !shared.link.broadcast(
         &core,
--- a/src/relay/proxy/call.rs
+++ b/src/relay/proxy/call.rs
@@ -17,7 +17,7 @@
 use crate::relay::record::RetryStop;
 use crate::relay::shared::RelayShared;
 use crate::verdict::Verdict;
-use crate::web::{BodyFault, read_body};
+use crate::web::{BodyError, read_body};
 
 /// Largest answer of a target that is buffered, in bytes.
 pub(crate) const MAX_ANSWER_BYTES: usize = 8 * 1024 * 1024;
@@ -31,11 +31,11 @@
     let mut series = AttemptSeries::new();
     loop {
         if let Some(fault) = series.check_quarantine(shared, job) {
-            ledger.series_end = Some(RetryStop::Quarantined);
+            ledger.retry_stop = Some(RetryStop::Quarantined);
             return Err(fault);
         }
         let Some(mut placement) = series.place(shared, job) else {
-            ledger.series_end = Some(RetryStop::NoTarget);
+            ledger.retry_stop = Some(RetryStop::NoTarget);
             return Err(series.final_fault(shared, job, false));
         };
         if !acquire_permit(shared, job, &series, &mut placement).await {
@@ -49,8 +49,9 @@
             Err(fault) => {
                 let is_timeout = fault.is_timeout;
                 ledger.digest = Some(job.digest());
-                if let Err(end) = series.record_fault(shared, job, &placement.target, fault).await {
-                    ledger.series_end = Some(end);
+                if let Err(stop) = series.record_fault(shared, job, &placement.target, fault).await
+                {
+                    ledger.retry_stop = Some(stop);
                     if let Some(answer) = series.answer.take() {
                         return Ok(answer.map(|body| RelayBody::Buffered(Full::new(body))));
                     }
@@ -74,9 +75,9 @@
     let time_left = job.deadline.since(shared.now());
     let complete_body =
         read_body(body, MAX_ANSWER_BYTES, time_left).await.map_err(|fault| match fault {
-            BodyFault::TooSlow => AttemptFault::timeout(Verdict::MayHaveRun),
-            BodyFault::TooLarge => AttemptFault::garbled("the answer is too large"),
-            BodyFault::Broken => AttemptFault::broken("the answer broke off"),
+            BodyError::TimedOut => AttemptFault::timeout(Verdict::MayHaveRun),
+            BodyError::TooLarge => AttemptFault::malformed("the answer is too large"),
+            BodyError::Aborted => AttemptFault::broken("the answer broke off"),
         })?;
     guard.return_connection(&head);
     job.report_answered(shared);
@@ -86,7 +87,7 @@
     let answer = Response::from_parts(parts, complete_body);
     if is_failure && job.route.repeat.is_repeatable() {
         let reason = format!("the target answered {}", answer.status().as_u16());
-        let mut fault = AttemptFault::garbled(reason);
+        let mut fault = AttemptFault::malformed(reason);
         fault.fault = TargetFault::Error;
         fault.verdict = Verdict::Ran;
         fault.answer = Some(Box::new(answer));
