--- a/src/agent/attempts.rs
+++ b/src/agent/attempts.rs
@@ -50,6 +50,8 @@
         self.runs.insert(id, run);
     }
 
+    /// Returns the reason for which a dispatch is refused, and the retry delay to ask for; `None`
+    /// if it is accepted.
     pub(super) fn refuse_dispatch(
         &self,
         id: &AttemptId,
@@ -169,6 +171,7 @@
         }
     }
 
+    /// Sends the stored outcome of an attempt again, from `offset` bytes of the answer on.
     pub(super) fn replay(&mut self, conn: ConnId, id: &AttemptId, offset: u64) {
         let Some(outcome) = self.ledger.get(id).cloned() else {
             return;
--- a/src/agent/core.rs
+++ b/src/agent/core.rs
@@ -60,7 +60,9 @@
     pub(super) runs: BTreeMap<AttemptId, Run>,
     pub(super) ledger: OutcomeLedger,
     pub(super) leases: LeaseTable,
+    /// Holds whose reservations the engine has yet to release.
     pub(super) releasing: BTreeSet<AttemptId>,
+    /// Connections of the entries for whose attempts memory is held.
     pub(super) holders: BTreeMap<AttemptId, ConnId>,
     pub(super) pending_holds: Vec<PendingHold>,
     pub(super) share: FairShare,
@@ -252,7 +254,7 @@
             ToAgent::ConfigVersion(version) => {
                 self.config_version = self.config_version.max(version);
             }
-            ToAgent::QueryAccount(ask) => self.on_account_request(conn, &ask, now),
+            ToAgent::QueryAccount(query) => self.on_account_query(conn, &query, now),
             ToAgent::ReleaseAccount(number) => self.quota.release(&(conn, number)),
         }
     }
@@ -276,13 +278,13 @@
         self.send(Some(conn), ToEntry::ProbeAnswer(answer));
     }
 
-    fn on_account_request(&mut self, conn: ConnId, request: &AccountQuery, now: Tick) {
-        let AccountQuery { number, account, remainder: rest, was_admitted: is_held } = request;
+    fn on_account_query(&mut self, conn: ConnId, query: &AccountQuery, now: Tick) {
+        let AccountQuery { number, account, remainder, was_admitted } = query;
         let holder = (conn, *number);
-        if *is_held {
+        if *was_admitted {
             return self.quota.record_admitted(account, holder, now);
         }
-        let wait = self.quota.admit(account, *rest, holder, now).err();
+        let wait = self.quota.admit(account, *remainder, holder, now).err();
         let wait_us = wait.map(|wait| wait.as_micros() as u64);
         self.send(Some(conn), ToEntry::AccountAnswer { number: *number, wait_us });
     }
@@ -305,7 +307,7 @@
         (!has_model).then_some(Refusal::NotReady)
     }
 
-    // Timers and shutdown.
+    // Timers and draining.
 
     pub(super) fn expire(&mut self, now: Tick) {
         while let Some(timer) = self.timers.pop_due(now) {
--- a/src/agent/daemon.rs
+++ b/src/agent/daemon.rs
@@ -45,7 +45,7 @@
 /// Delay before the retry of a call that cancels a run or releases a reservation.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Time-out for sending the last queued messages at shutdown.
+/// Timeout for sending the last queued messages at shutdown.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// State shared by the agent's tasks, which all run on one thread.
@@ -99,7 +99,7 @@
     }
 
     /// Serves until `stop` completes, then drains. Returns the duration of the
-    /// longest loop iteration.
+    /// longest iteration of the event loop.
     ///
     /// # Errors
     ///
@@ -179,37 +179,37 @@
         stop: impl Future<Output = ()>,
     ) {
         let mut stop = std::pin::pin!(stop);
-        let mut force_stop_at = Tick::NEVER;
-        self.step(Event::Wake);
-        while !self.stopped && self.clock.now() < force_stop_at {
-            let wake = self.core.next_wake().unwrap_or(Tick::NEVER).min(force_stop_at);
-            let sleep = sleep_until(&self.clock, wake);
+        let mut drain_deadline = Tick::NEVER;
+        self.run_iteration(Event::Wake);
+        while !self.stopped && self.clock.now() < drain_deadline {
+            let wake_at = self.core.next_wake().unwrap_or(Tick::NEVER).min(drain_deadline);
+            let sleep = sleep_until(&self.clock, wake_at);
             tokio::select! {
                 event = events.recv() => match event {
-                    Some(event) => self.step(event),
+                    Some(event) => self.run_iteration(event),
                     None => return,
                 },
-                () = sleep => self.step(Event::Wake),
-                () = &mut stop, if force_stop_at == Tick::NEVER => {
-                    info!(self.shared.log, "planned stop begins");
-                    force_stop_at = self.clock.now() + self.shared.settings.drain_timeout;
-                    self.step(Event::Drain);
+                () = sleep => self.run_iteration(Event::Wake),
+                () = &mut stop, if drain_deadline == Tick::NEVER => {
+                    info!(self.shared.log, "drain started");
+                    drain_deadline = self.clock.now() + self.shared.settings.drain_timeout;
+                    self.run_iteration(Event::Drain);
                 }
             }
         }
     }
 
-    fn step(&mut self, event: Event) {
+    fn run_iteration(&mut self, event: Event) {
         let start = std::time::Instant::now();
         let effects = self.core.on_event(self.clock.now(), event);
         for effect in effects {
-            self.apply(effect);
+            self.apply_effect(effect);
         }
         self.meter.record(start.elapsed());
         self.shared.metrics.update(&self.core, self.meter.longest());
     }
 
-    fn apply(&mut self, effect: Effect) {
+    fn apply_effect(&mut self, effect: Effect) {
         let shared = self.shared.clone();
         match effect {
             Effect::Send(conn, message) => {
@@ -381,9 +381,9 @@
     shared.links.borrow_mut().insert(conn, sender);
     shared.open_links.set(shared.open_links.get() + 1);
     shared.send(Event::PeerUp(conn, peer));
-    let work = RefCell::new(OpenAttempts::default());
+    let attempts = RefCell::new(OpenAttempts::default());
     let on_message = |message: ToAgent| shared.send(Event::Peer(conn, message));
-    run_link(socket, queue, LinkSide::Accepting, &work, on_message).await;
+    run_link(socket, queue, LinkSide::Accepting, &attempts, on_message).await;
     shared.links.borrow_mut().remove(&conn);
     shared.open_links.set(shared.open_links.get() - 1);
     shared.send(Event::PeerGone(conn));
@@ -392,10 +392,10 @@
 /// Closes all links after their queued messages have been sent.
 async fn flush_links(shared: &AgentShared) {
     shared.links.borrow_mut().clear();
-    let work = async {
+    let all_closed = async {
         while shared.open_links.get() > 0 {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    let _ = tokio::time::timeout(FLUSH_TIMEOUT, work).await;
+    let _ = tokio::time::timeout(FLUSH_TIMEOUT, all_closed).await;
 }
--- a/src/agent/engine.rs
+++ b/src/agent/engine.rs
@@ -1,7 +1,7 @@
 //! HTTP client of the agent for a model engine.
 //!
-//! This is the only module that knows how an engine reserves memory, pauses
-//! and resumes runs.
+//! This is the only module that knows how an engine reserves memory, and
+//! how it pauses and resumes runs.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -25,7 +25,7 @@
 use crate::verdict::Verdict;
 use crate::wire::Call;
 
-/// Time-out of calls other than runs.
+/// Timeout of calls other than runs.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Maximum number of idle connections kept to the engine.
--- a/src/agent/event.rs
+++ b/src/agent/event.rs
@@ -90,7 +90,7 @@
     Cache(CacheEvent),
     /// The engine reported the runs and reservations that it holds.
     EngineHoldings(Vec<EngineHolding>),
-    /// A planned stop begins.
+    /// The agent is to drain: it refuses new and queued work, and runs at the target continue.
     Drain,
     /// Time has passed; due timers are processed.
     Wake,
@@ -147,11 +147,11 @@
         /// Human-readable detail.
         detail: String,
     },
-    /// The planned stop is complete.
+    /// The agent has drained and can exit.
     Stopped,
 }
 
-/// Limits and time-outs of an agent.
+/// Limits and timeouts of an agent.
 #[derive(Clone, Debug)]
 pub struct AgentTuning {
     /// Maximum tokens of one prefill piece: longer prompts are prefilled piece by piece.
--- a/src/agent/mod.rs
+++ b/src/agent/mod.rs
@@ -1,4 +1,4 @@
-//! The agent: a proxy that is the only way to one target.
+//! The agent: a proxy through which all requests to one target pass.
 //!
 //! [`AgentCore`] makes the decisions and does no I/O: it takes an [`Event`]
 //! and the time, and returns [`Effect`]s. The daemon around it turns socket
--- a/src/agent/queue.rs
+++ b/src/agent/queue.rs
@@ -22,6 +22,7 @@
 #[derive(Debug, Default)]
 pub struct FairShare {
     served: HashMap<Arc<str>, u64>,
+    /// Work, in microseconds divided by the account's weight, from which lags are counted.
     floor: u64,
 }
 
@@ -33,7 +34,7 @@
         self.served.insert(account.clone(), start + cost);
     }
 
-    /// Raises the floor to the least served account among those that wait now,
+    /// Raises the floor to the least work charged to any account that waits now,
     /// so that an idle account accumulates no credit.
     pub fn raise_floor<'a>(&mut self, waiting: impl Iterator<Item = &'a Arc<str>>) {
         let least = waiting.map(|account| self.served.get(account).copied().unwrap_or(0)).min();
--- a/src/agent/schedule.rs
+++ b/src/agent/schedule.rs
@@ -67,6 +67,7 @@
         }
     }
 
+    /// Returns the run to start or resume next, by rank; `None` if none may proceed now.
     fn pick(&self, now: Tick) -> Option<AttemptId> {
         let waiting = self.runs.iter().filter(|(_, run)| run.is_waiting());
         let mut ranked: Vec<_> = waiting.map(|(id, run)| (self.rank(run, now), id, run)).collect();
