--- a/src/entry/account.rs
+++ b/src/entry/account.rs
@@ -93,11 +93,11 @@
     pub retry_after: Duration,
     /// Part of the limits that the shares of all entries leave over and that an agent may grant;
     /// `None` if they leave nothing.
-    pub rest: Option<AccountShare>,
+    pub remainder: Option<AccountShare>,
 }
 
-/// Splits an account's limits into the share of one of `entries` entries and the rest that all
-/// shares leave over.
+/// Splits an account's limits into the share of one of `entries` entries and the remainder that
+/// all shares leave over.
 ///
 /// Shares are rounded down to whole numbers, so that their sum does not exceed the limits. If the
 /// share of one of the two limits is zero, an agent grants all of both.
@@ -115,11 +115,11 @@
     if own_share.is_empty() {
         return (empty, total);
     }
-    let rest = AccountShare {
+    let remainder = AccountShare {
         per_second: total.per_second - own_share.per_second * entries as f64,
         concurrent: total.concurrent - own_share.concurrent * entries as u64,
     };
-    (own_share, rest)
+    (own_share, remainder)
 }
 
 /// Each account's requests in flight and request rate within this entry's share.
@@ -142,17 +142,17 @@
         entries: usize,
         now: Tick,
     ) -> Result<(), LimitFault> {
-        let (own_share, rest) = split_limits(policy, entries);
-        let rest = (!rest.is_empty()).then_some(rest);
+        let (own_share, remainder) = split_limits(policy, entries);
+        let remainder = (!remainder.is_empty()).then_some(remainder);
         if own_share.is_empty() {
-            return Err(LimitFault { retry_after: NO_SHARE_RETRY, rest });
+            return Err(LimitFault { retry_after: NO_SHARE_RETRY, remainder });
         }
         // An earlier incarnation of this entry may have admitted up to a second's share just
         // before, so the limit is exceeded by at most that after a restart.
         let new_usage = || AccountUsage { in_flight: 0, usage: ShareUsage::full() };
         let account_usage = self.usage.entry(policy.name.clone()).or_insert_with(new_usage);
         let admitted = account_usage.usage.admit(own_share, account_usage.in_flight, now);
-        admitted.map_err(|retry_after| LimitFault { retry_after, rest })?;
+        admitted.map_err(|retry_after| LimitFault { retry_after, remainder })?;
         account_usage.in_flight += 1;
         Ok(())
     }
--- a/src/entry/admission.rs
+++ b/src/entry/admission.rs
@@ -50,20 +50,20 @@
         now: Tick,
     ) {
         let entries = self.table.live_entries();
-        let LimitFault { retry_after, rest } =
+        let LimitFault { retry_after, remainder } =
             match self.limits.admit(&arrival.policy, entries, now) {
                 Ok(()) => return self.start_request(arrival, need, time_limit, None, now),
                 Err(fault) => fault,
             };
-        let agent = rest.and_then(|rest| {
+        let agent = remainder.and_then(|remainder| {
             let agent = self.table.quota_target(&arrival.policy.name)?;
-            Some((rest, agent))
+            Some((remainder, agent))
         });
-        let Some((rest, agent)) = agent else {
+        let Some((remainder, agent)) = agent else {
             return self.refuse_over_limit(arrival.number, retry_after);
         };
         let number = arrival.number;
-        self.send_account_query(&agent, &arrival, rest, false);
+        self.send_account_query(&agent, &arrival, remainder, false);
         self.timers.subscribe(now + ACCOUNT_QUERY_TIMEOUT, Timer::AccountQuery(number));
         let pending = PendingAdmission { arrival, need, time_limit, agent, queried_at: now };
         self.pending.insert(number, pending);
@@ -73,16 +73,11 @@
         &mut self,
         agent: &Arc<str>,
         arrival: &Arrival,
-        rest: AccountShare,
-        is_held: bool,
+        remainder: AccountShare,
+        was_admitted: bool,
     ) {
         let account = arrival.policy.name.clone();
-        let query = AccountQuery {
-            number: arrival.number,
-            account,
-            remainder: rest,
-            was_admitted: is_held,
-        };
+        let query = AccountQuery { number: arrival.number, account, remainder, was_admitted };
         self.effects.push(Effect::Send(agent.clone(), ToAgent::QueryAccount(query)));
     }
 
@@ -115,7 +110,8 @@
     ) {
         let is_expected = self.pending.get(&number).is_some_and(|pending| pending.agent == *agent);
         let Some(pending) = is_expected.then(|| self.pending.remove(&number)).flatten() else {
-            // No query is pending: the grant is released here unless the request is open.
+            // No query is pending, so nothing else would release the grant. An open request
+            // releases it when it ends.
             let is_admitted = self.requests.contains_key(&number);
             if wait.is_none() && !is_admitted {
                 self.effects.push(Effect::Send(agent.clone(), ToAgent::ReleaseAccount(number)));
--- a/src/entry/answers.rs
+++ b/src/entry/answers.rs
@@ -169,12 +169,12 @@
     first: Reply,
     answer_format: AnswerFormat,
 ) -> WebResponse {
-    let (part_sender, parts) = mpsc::unbounded_channel();
+    let (chunk_sender, chunks) = mpsc::unbounded_channel();
     let id = answer_format.id.clone();
     let writer = spawn_local(async move {
         let mut reply = first;
         loop {
-            let is_last = send_events(&part_sender, &reply, &answer_format);
+            let is_last = send_events(&chunk_sender, &reply, &answer_format);
             if is_last {
                 return;
             }
@@ -182,8 +182,7 @@
         }
     });
     let guard = Box::new(AbortGuard(writer));
-    let mut response =
-        Response::new(ResponseBody::Streamed(ChunkStream { chunks: parts, _guard: guard }));
+    let mut response = Response::new(ResponseBody::Streamed(ChunkStream { chunks, _guard: guard }));
     let headers = response.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/event-stream"));
     headers.insert(hyper::header::CACHE_CONTROL, HeaderValue::from_static("no-store"));
@@ -202,30 +201,30 @@
 
 /// Writes a reply as events; returns true after the last one.
 fn send_events(
-    parts: &mpsc::UnboundedSender<Bytes>,
+    chunk_sender: &mpsc::UnboundedSender<Bytes>,
     reply: &Reply,
     answer_format: &AnswerFormat,
 ) -> bool {
     // If the caller disconnects, the body is dropped, which aborts this task.
     match reply {
         Reply::Text(text) => {
-            let _ = parts.send(answer_format.to_event(text, None));
+            let _ = chunk_sender.send(answer_format.to_event(text, None));
             false
         }
         Reply::Done(done) => {
-            let _ = parts.send(answer_format.to_event(b"", Some(done)));
+            let _ = chunk_sender.send(answer_format.to_event(b"", Some(done)));
             if answer_format.has_usage_event {
-                let _ = parts.send(answer_format.to_usage_event(done));
+                let _ = chunk_sender.send(answer_format.to_usage_event(done));
             }
-            let _ = parts.send(Bytes::from_static(b"data: [DONE]\n\n"));
+            let _ = chunk_sender.send(Bytes::from_static(b"data: [DONE]\n\n"));
             true
         }
         Reply::Failed(failure) => {
             let code = failure.code.to_string();
             let body = ErrorBody::new(&code, &failure.message, failure.verdict, &answer_format.id);
             let json = serde_json::to_vec(&body).unwrap_or_default();
-            let _ = parts.send(Bytes::from_static(b"event: error\n"));
-            let _ = parts.send(to_sse(&json));
+            let _ = chunk_sender.send(Bytes::from_static(b"event: error\n"));
+            let _ = chunk_sender.send(to_sse(&json));
             true
         }
         Reply::Head(..) => false,
--- a/src/entry/attempts.rs
+++ b/src/entry/attempts.rs
@@ -205,8 +205,8 @@
         let is_retryable =
             verdict.may_retry(request.arrival.repeatable) || is_on(Mutant::VerdictOff);
         let may_retry = is_retryable && !request.has_answer_started() && !is_quarantined;
-        let has_attempts = request.dispatches < self.tuning.max_attempts;
-        if !may_retry || !has_attempts || !self.budget.withdraw() {
+        let has_attempts_left = request.dispatches < self.tuning.max_attempts;
+        if !may_retry || !has_attempts_left || !self.budget.withdraw() {
             self.fail(number, FailureCode::TargetFailed, reason, now);
             return;
         }
--- a/src/entry/core.rs
+++ b/src/entry/core.rs
@@ -143,7 +143,7 @@
     pub fn on_event(&mut self, now: Tick, event: Event) -> Vec<Effect> {
         match event {
             Event::Arrive(arrival) => self.on_arrive(arrival, now),
-            Event::CallerDisconnected(number) => self.on_caller_gone(number, now),
+            Event::CallerDisconnected(number) => self.on_caller_disconnected(number, now),
             Event::AgentUp(target, incarnation) => self.on_agent_up(target, incarnation),
             Event::AgentDown(target) => self.on_agent_down(&target, now),
             Event::AgentMessage(target, message) => self.on_message(&target, message, now),
@@ -284,7 +284,7 @@
         }
     }
 
-    pub(super) fn on_caller_gone(&mut self, number: u64, now: Tick) {
+    pub(super) fn on_caller_disconnected(&mut self, number: u64, now: Tick) {
         if let Some(pending) = self.pending.remove(&number) {
             self.counts.callers_gone += 1;
             let grant = Some(pending.into_grant());
@@ -335,12 +335,12 @@
             return;
         };
         let retry = request.refusal.map(|(_, retry)| retry).filter(|retry| !retry.is_zero());
-        let can_come_back = code != FailureCode::TargetFailed;
+        let may_retry = code != FailureCode::TargetFailed;
         let failure = Failure {
             code,
             message: message.to_owned(),
             verdict: request.verdict,
-            retry_after: can_come_back.then_some(retry.unwrap_or(DEFAULT_RETRY)),
+            retry_after: may_retry.then_some(retry.unwrap_or(DEFAULT_RETRY)),
         };
         self.counts.failed += 1;
         let outcome = format!("{code}: {message}; {}", failure.verdict);
--- a/src/entry/daemon.rs
+++ b/src/entry/daemon.rs
@@ -34,7 +34,7 @@
 use crate::time::Tick;
 use crate::timeline::EventTimeline;
 
-/// Maximum number of events in the time line.
+/// Maximum number of events in the timeline.
 const TIMELINE_CAPACITY: usize = 8_192;
 
 /// Interval between two polls of the host list.
@@ -349,8 +349,8 @@
 
 /// Waits for a newer configuration.
 ///
-/// A store that was unreachable is read first: it may have been restored from a copy, and a watch
-/// might not return for a long time.
+/// A store that was unreachable is read first: it may have been restored from a backup, and a
+/// watch might not return for a long time.
 async fn read_or_watch(
     store: &mut ConfigStore,
     version: ConfigVersion,
--- a/src/entry/event.rs
+++ b/src/entry/event.rs
@@ -126,7 +126,7 @@
     Reply(u64, Reply),
     /// Send a message to a target's agent, and connect first if there is no connection.
     Send(Arc<str>, ToAgent),
-    /// Record an event on the time line.
+    /// Record an event in the timeline.
     Record {
         /// Number of the request; zero if the event concerns none.
         number: u64,
--- a/tests/account_limits.rs
+++ b/tests/account_limits.rs
@@ -1,6 +1,6 @@
 //! Limits of a client account apply to the whole fleet: each entry admits requests within its
-//! share, rounded down, and one agent grants the rest. This holds for any number of entries that
-//! become active at once and across restarts of the agent.
+//! share, rounded down, and one agent grants the remainder. This holds for any number of entries
+//! that become active at once and across restarts of the agent.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -84,9 +84,9 @@
         let is_by_agent = match self.entries[entry].admit(&self.policy, entries, now) {
             Ok(()) => false,
             Err(fault) => {
-                let Some(rest) = fault.rest else { return };
+                let Some(remainder) = fault.remainder else { return };
                 let holder = (entry, number);
-                if self.quota.admit(&self.policy.name, rest, holder, now).is_err() {
+                if self.quota.admit(&self.policy.name, remainder, holder, now).is_err() {
                     return;
                 }
                 true
