--- a/src/entry/account.rs
+++ b/src/entry/account.rs
@@ -54,7 +54,7 @@
         &self.config
     }
 
-    /// Returns true if requests to `path` of a plain service may run only once.
+    /// Returns `true` if requests to `path` of a plain service may run only once.
     #[must_use]
     pub fn is_once_only(&self, service: &str, path: &str) -> bool {
         let Some(service) = self.config.service(service) else {
@@ -67,7 +67,7 @@
         })
     }
 
-    /// Returns true if `name` is a plain service.
+    /// Returns `true` if `name` is a plain service.
     #[must_use]
     pub fn is_plain(&self, name: &str) -> bool {
         self.config.service(name).is_some_and(|service| service.kind == ServiceKind::Plain)
--- a/src/entry/answers.rs
+++ b/src/entry/answers.rs
@@ -199,7 +199,7 @@
     }
 }
 
-/// Writes a reply as events; returns true after the last one.
+/// Writes a reply as events; returns `true` after the last one.
 fn send_events(
     chunk_sender: &mpsc::UnboundedSender<Bytes>,
     reply: &Reply,
--- a/src/entry/attempts.rs
+++ b/src/entry/attempts.rs
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Returns true if `key` is the live attempt of its request and runs at `target`.
+    /// Returns `true` if `key` is the live attempt of its request and runs at `target`.
     pub(super) fn is_live(&self, target: &Arc<str>, key: AttemptKey) -> bool {
         let Some(request) = self.requests.get(&key.0) else {
             return false;
--- a/src/entry/core.rs
+++ b/src/entry/core.rs
@@ -92,7 +92,7 @@
     pub(super) timers: TimerService<Timer>,
     pub(super) history: DirectHistory,
     pub(super) budget: RetryBudget,
-    /// Requests under which engines crashed.
+    /// Crashes of engines under requests, and the requests that are quarantined for them.
     pub(super) quarantine: QuarantineLedger,
     /// Number of reported crashes of each target's engine.
     pub(super) crash_counts: HashMap<Arc<str>, u64>,
--- a/src/entry/daemon.rs
+++ b/src/entry/daemon.rs
@@ -100,7 +100,7 @@
         self.next_number.get()
     }
 
-    /// Returns true if callers can be served: a configuration is in force and the entry is not
+    /// Returns `true` if callers can be served: a configuration is in force and the entry is not
     /// draining.
     pub(super) fn is_ready(&self) -> bool {
         !self.draining.get() && !self.accounts.borrow().config().client_accounts.is_empty()
--- a/src/entry/direct.rs
+++ b/src/entry/direct.rs
@@ -55,7 +55,7 @@
         self.waits.remove(target);
     }
 
-    /// Remembers the first prefix of a prompt. Returns true if it has been seen before.
+    /// Remembers the first prefix of a prompt. Returns `true` if it has been seen before.
     pub(super) fn insert_prefix(&mut self, hash: u64) -> bool {
         if let Some(count) = self.prefixes.get_mut(&hash) {
             *count += 1;
@@ -80,7 +80,7 @@
 
 impl EntryCore {
     /// Dispatches a new request without probing if a target is likely to run it at once.
-    /// Returns false if the request has to be probed for.
+    /// Returns `false` if the request has to be probed for.
     pub(super) fn try_direct(&mut self, number: u64, now: Tick) -> bool {
         let Some(request) = self.requests.get(&number) else {
             return false;
--- a/src/entry/quarantine.rs
+++ b/src/entry/quarantine.rs
@@ -25,7 +25,7 @@
         self.quarantine.quarantined().quarantine_left(&digest_of(arrival), now)
     }
 
-    /// Returns true if an open request is quarantined.
+    /// Returns `true` if an open request is quarantined.
     pub(super) fn is_quarantined(&mut self, number: u64, now: Tick) -> bool {
         if self.quarantine.is_empty() {
             return false;
--- a/src/entry/request.rs
+++ b/src/entry/request.rs
@@ -119,7 +119,7 @@
         AttemptKey(self.arrival.number, self.attempt)
     }
 
-    /// Returns true if a part of the answer was sent to the caller.
+    /// Returns `true` if a part of the answer was sent to the caller.
     pub(super) fn has_answer_started(&self) -> bool {
         self.sent_bytes > 0 || self.has_head
     }
--- a/src/entry/retry.rs
+++ b/src/entry/retry.rs
@@ -28,7 +28,7 @@
         self.balance = (self.balance + self.ratio).min(MAX_BALANCE);
     }
 
-    /// Withdraws one retry; returns false if the balance is too low.
+    /// Withdraws one retry; returns `false` if the balance is too low.
     pub(super) fn withdraw(&mut self) -> bool {
         if self.balance < 1.0 {
             return false;
--- a/src/entry/route.rs
+++ b/src/entry/route.rs
@@ -129,7 +129,7 @@
         self.services_by_target.len()
     }
 
-    /// Returns true if no target is known.
+    /// Returns `true` if no target is known.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.services_by_target.is_empty()
