--- a/src/account_quota.rs
+++ b/src/account_quota.rs
@@ -22,7 +22,8 @@
 /// the requests that its previous incarnation admitted.
 const STARTUP_DELAY: Duration = Duration::from_secs(1);
 
-/// Retry delay for an account that has too many requests in flight.
+/// Retry delay for an account that has too many requests in flight, or that exceeds
+/// [`MAX_ACCOUNTS`].
 const IN_FLIGHT_RETRY: Duration = Duration::from_secs(1);
 
 /// Maximum number of accounts that one agent tracks.
--- a/src/claim.rs
+++ b/src/claim.rs
@@ -65,7 +65,7 @@
 /// One segment of a log, stored as one object.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimSegment {
-    /// Random text by which a writer recognises its own segment.
+    /// Random text by which a writer recognizes its own segment.
     pub token: String,
     /// Wall time of the write, in seconds since 1970.
     pub at: u64,
@@ -93,6 +93,7 @@
 #[derive(Clone, Debug)]
 struct ClaimOwner {
     request: String,
+    /// Wall time of the claim's segment, in seconds since 1970.
     at: u64,
 }
 
@@ -101,7 +102,8 @@
 pub struct ClaimLog {
     next: u64,
     owners: HashMap<ClaimKey, ClaimOwner>,
-    /// Number and time of each segment within the retention period.
+    /// Number of each segment within the retention period, and its wall time in seconds since
+    /// 1970.
     segment_times: Vec<(u64, u64)>,
 }
 
@@ -174,8 +176,9 @@
         records.collect()
     }
 
-    /// Drops claims that are older than the retention period. Returns the number of the
-    /// first segment within the retention period, if it has changed.
+    /// Drops claims that are older than the retention period at `now`, a wall time in seconds
+    /// since 1970. Returns the number of the first segment within the retention period, if it
+    /// has changed.
     pub fn expire(&mut self, now: u64) -> Option<u64> {
         let oldest = now.saturating_sub(RETENTION_SECONDS);
         self.owners.retain(|_, owner| owner.at >= oldest);
--- a/src/claim_store.rs
+++ b/src/claim_store.rs
@@ -23,10 +23,10 @@
 /// Maximum number of claims in a segment: about 100 KB.
 const MAX_BATCH: usize = 1_000;
 
-/// Time after a restore of the store from a copy during which no free key is granted, because
+/// Time after a restore of the store from a backup during which no free key is granted, because
 /// other entries may still rewrite the claims that the store has lost. They learn of the restore
 /// through their watch of the configuration, half a second after the watch was cut, and write
-/// at once; the remaining time is for a slow store.
+/// within [`MAX_REWRITE_DELAY`]; the remaining time is for a slow store.
 const REWRITE_WINDOW: Duration = Duration::from_secs(3);
 
 /// Maximum random delay before an entry rewrites the claims that the store has lost. All entries
@@ -240,7 +240,7 @@
             let segment = ClaimSegment { token, at, records: selected };
             let found = self.create(number, &segment).await?;
             if self.store.epoch() != self.log_epoch {
-                // The store was restored from a copy: there may be a gap before the segment.
+                // The store was restored from a backup: there may be a gap before the segment.
                 self.load().await?;
                 continue;
             }
@@ -283,7 +283,7 @@
         }
         if self.store.epoch() != epoch {
             return Err(Error::unreachable(
-                "store restored from a copy while a claim log was read",
+                "store restored from a backup while a claim log was read",
             ));
         }
         if let Some(previous) = &self.log {
@@ -352,5 +352,5 @@
     serde_json::to_vec(value).unwrap_or_default().into()
 }
 
-/// A claim store that the tasks of one thread share.
+/// A claim store shared by the tasks of one thread.
 pub(crate) type SharedClaims = Rc<ClaimStore>;
--- a/src/client.rs
+++ b/src/client.rs
@@ -17,7 +17,7 @@
 /// Body of a call.
 pub type CallBody = BoxBody<Bytes, std::convert::Infallible>;
 
-/// Time limit for establishing a connection.
+/// Timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// An HTTP client with a connection pool.
@@ -51,7 +51,7 @@
         HttpClient { inner }
     }
 
-    /// Sends a request and returns when the head of the answer arrives.
+    /// Sends a request and returns when the head of the response arrives.
     ///
     /// # Errors
     ///
@@ -66,11 +66,11 @@
         })
     }
 
-    /// Sends a request and reads the complete answer within a time limit.
+    /// Sends a request and reads the complete response within a time limit.
     ///
     /// # Errors
     ///
-    /// The answer did not arrive in time or is broken; the call may have taken effect.
+    /// The response did not arrive in time or is broken; the call may have taken effect.
     pub async fn call(
         &self,
         request: Request<CallBody>,
--- a/src/config_store.rs
+++ b/src/config_store.rs
@@ -50,7 +50,7 @@
     ///
     /// Returns an error if the store is unreachable, or if its content is malformed or invalid.
     pub async fn watch(&mut self, after: ConfigVersion, wait: Duration) -> Result<Option<Config>> {
-        // A store that was restored from a copy issues version numbers again, so a version
+        // A store that was restored from a backup issues version numbers again, so a version
         // from an earlier epoch is not comparable.
         let is_same_epoch = self.position.epoch == self.store.epoch();
         let known_version = if is_same_epoch { self.position.version } else { 0 };
@@ -118,7 +118,7 @@
         let (manifest, objects) = Manifest::from_config(config, token);
         let manifest = Manifest { epoch: self.store.epoch(), ..manifest };
         for object in objects {
-            // A store that was restored from a copy can lack objects that were read earlier.
+            // A store that was restored from a backup can lack objects that were read earlier.
             let is_cache_valid = self.position.epoch == manifest.epoch;
             if is_cache_valid && self.objects.contains_key(&object.hash) {
                 continue;
@@ -141,7 +141,7 @@
 
     /// Returns the version of the manifest's object that a change based on `expected` replaces.
     ///
-    /// A store that was restored from a copy can have lost the expected version and hold an
+    /// A store that was restored from a backup can have lost the expected version and hold an
     /// earlier version, which is accepted as the base as well.
     async fn find_replaced_version(&mut self, expected: ConfigVersion) -> Result<ObjectVersion> {
         let Some(stored) = self.store.get(MANIFEST_OBJECT).await? else { return Ok(0) };
--- a/src/host_list.rs
+++ b/src/host_list.rs
@@ -9,7 +9,7 @@
 use crate::error::{Error, ErrorCode, Result};
 use crate::hosts::HostDelta;
 
-/// Time-out of a call.
+/// Timeout of a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Client of the platform's list of hosts.
@@ -30,7 +30,7 @@
     ///
     /// # Errors
     ///
-    /// The platform did not answer, or its answer is not a list.
+    /// The platform does not respond, or its response is not a list of hosts.
     pub async fn get_changes(&self, after: u64) -> Result<HostDelta> {
         let uri = format!("http://{}/hosts?after={after}", self.address);
         let mut request = Request::new(full(""));
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -20,11 +20,11 @@
 //!
 //! The agent knows the exact memory use and queue of its target, since all
 //! requests to the target pass through it. It accepts or refuses the request; a
-//! refused request has certainly not run. The agent leases memory
-//! ([`agent::lease`]), orders the queue ([`agent::queue`]), splits the prefill
-//! of long prompts into pieces so that short prompts can run in between, and
-//! records the outcome of each attempt ([`agent::ledger`]), so that no attempt
-//! runs twice.
+//! refused request has certainly not run. The agent leases memory of the
+//! engine's KV cache ([`agent::lease`]), orders the queue ([`agent::queue`]),
+//! splits the prefill of long prompts into pieces so that short prompts can run
+//! in between, and records the outcome of each attempt ([`agent::ledger`]), so
+//! that no attempt runs twice.
 //!
 //! Each part of an answer carries its offset. After a broken connection, the
 //! entry reconnects and resumes the answer at that offset; an answer never
@@ -65,6 +65,15 @@
 //! [`agent::daemon`]). The randomized simulations of the workspace member
 //! `standins` run the same cores in virtual time. The cores check their own
 //! invariants ([`invariant`]).
+//!
+//! # Other platforms
+//!
+//! On a platform whose callers, targets and store have protocols of their own, an
+//! entry sends requests directly to its targets, without an agent in between
+//! ([`relay`]). An adapter defines these protocols ([`relay::proxy::protocol`],
+//! [`relay::discovery::source`]); the workspace member `platform` is one. The
+//! decisions are made by [`relay::core::RelayCore`], which performs no input or
+//! output either.
 
 pub mod account_quota;
 pub mod agent;
--- a/src/link_pool.rs
+++ b/src/link_pool.rs
@@ -17,7 +17,7 @@
 /// Events of the links of a pool.
 #[derive(Debug)]
 pub(crate) enum LinkEvent {
-    /// A link to this target is established; the agent has this incarnation.
+    /// A link to this target's agent is established; the agent has this incarnation.
     Up(Arc<str>, Incarnation),
     /// The link was closed or could not be established.
     Down(Arc<str>),
@@ -27,7 +27,7 @@
 
 struct Link {
     sender: LinkSender,
-    work: Rc<RefCell<OpenAttempts>>,
+    open_attempts: Rc<RefCell<OpenAttempts>>,
     generation: u64,
 }
 
@@ -80,7 +80,7 @@
         let Some(link) = state.links.get(target) else {
             return;
         };
-        link.work.borrow_mut().record(message);
+        link.open_attempts.borrow_mut().record(message);
         if !link.sender.send(message.to_frame(), is_body) {
             // Dropping the sender ends the task of the link, which then emits `LinkEvent::Down`.
             state.links.remove(target);
@@ -89,16 +89,19 @@
 
     fn open(&self, state: &mut PoolState, target: &Arc<str>, address: Arc<str>) {
         let (sender, queue) = link_queue();
-        let work = Rc::new(RefCell::new(OpenAttempts::default()));
+        let open_attempts = Rc::new(RefCell::new(OpenAttempts::default()));
         state.next_generation += 1;
         let generation = state.next_generation;
-        state.links.insert(target.clone(), Link { sender, work: work.clone(), generation });
+        state.links.insert(
+            target.clone(),
+            Link { sender, open_attempts: open_attempts.clone(), generation },
+        );
         let task = LinkTask {
             pool: self.clone(),
             target: target.clone(),
             address,
             generation,
-            work,
+            open_attempts,
             identity: state.identity.clone(),
             events: state.events.clone(),
         };
@@ -118,7 +121,7 @@
     target: Arc<str>,
     address: Arc<str>,
     generation: u64,
-    work: Rc<RefCell<OpenAttempts>>,
+    open_attempts: Rc<RefCell<OpenAttempts>>,
     identity: PeerIdentity,
     events: mpsc::UnboundedSender<LinkEvent>,
 }
@@ -131,7 +134,7 @@
             let on_message = |message: ToEntry| {
                 self.emit(LinkEvent::Message(self.target.clone(), message));
             };
-            run_link(socket, queue, LinkSide::Connecting, &self.work, on_message).await;
+            run_link(socket, queue, LinkSide::Connecting, &self.open_attempts, on_message).await;
         }
         self.pool.remove_link(&self.target, self.generation);
         self.emit(LinkEvent::Down(self.target.clone()));
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -26,7 +26,7 @@
     Framed, MAX_FRAME_BYTES, PROTOCOL_VERSION, ToAgent, ToEntry, from_control, to_control,
 };
 
-/// Timeout for a connection attempt and its handshake.
+/// Timeout for a connection attempt with its handshake, and for closing a link.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Time without a received frame after which a link with open attempts is pinged.
@@ -178,9 +178,9 @@
     let proof = mac.finalize().into_bytes().to_vec();
     let process = identity.process.clone();
     send_control(socket, &Challenge { version: PROTOCOL_VERSION, process, nonce, proof }).await?;
-    let answer: Proof = receive_control(socket).await?;
+    let proof: Proof = receive_control(socket).await?;
     let mac = proof_code(&identity.key, "entry", &hello.nonce, &nonce, &hello.process);
-    check_proof(mac, &answer.proof)?;
+    check_proof(mac, &proof.proof)?;
     Ok(hello.process)
 }
 
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -77,7 +77,7 @@
     #[options(help = "maximum prefill in one piece, in tokens [8192]", no_short, meta = "N")]
     piece_tokens: Option<String>,
     #[options(
-        help = "maximum prefill at the engine at a time, in tokens [16384]",
+        help = "maximum prefill in progress at the engine, in tokens [16384]",
         no_short,
         meta = "N"
     )]
@@ -137,7 +137,7 @@
     pub log_format: LogFormat,
     /// Maximum prefill in one piece, in tokens.
     pub piece_tokens: u64,
-    /// Maximum prefill at the engine at a time, in tokens.
+    /// Maximum prefill in progress at the engine, in tokens.
     pub prefill_tokens: u64,
     /// Maximum duration of a drain; then the process stops even if requests remain.
     pub drain_timeout: Duration,
@@ -313,7 +313,7 @@
         let has_valid_characters =
             name.bytes().all(|byte| byte.is_ascii_alphanumeric() || byte == b'-');
         if name.is_empty() || !has_valid_characters {
-            return Err(to_flag_error(flag, "must be of letters, digits and `-`"));
+            return Err(to_flag_error(flag, "must be letters, digits and `-` only"));
         }
         Ok(name.into())
     }
--- a/src/store.rs
+++ b/src/store.rs
@@ -11,7 +11,7 @@
 use crate::client::{CallBody, HttpClient, full};
 use crate::error::{Error, ErrorCode, Result};
 
-/// Header with the store's epoch: the number of times that it was restored from an old copy.
+/// Header with the store's epoch: the number of times that it was restored from a backup.
 pub const STORE_EPOCH_HEADER: &str = "x-store-epoch";
 
 /// Timeout of a call; a watch adds its wait.
@@ -52,7 +52,7 @@
     }
 
     /// Returns the latest known epoch of the store: the number of times that it was restored
-    /// from an old copy. Each restored store issues version numbers again.
+    /// from a backup. Each restored store issues version numbers again.
     #[must_use]
     pub fn epoch(&self) -> u64 {
         *self.epoch.borrow()
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,4 +1,4 @@
-//! Time in the cores, and the timer service.
+//! Time in the cores, and their queue of timers.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -42,32 +42,32 @@
 
 /// Queue of timers, ordered by their time.
 ///
-/// A subscription is a plain value and can not be cancelled: when it is due, the
-/// subscriber checks whether the value is still relevant.
+/// A timer is a plain value and can not be cancelled: when it is due, its
+/// owner checks whether the value is still relevant.
 #[derive(Debug)]
 pub struct TimerService<K> {
     heap: BinaryHeap<Reverse<(Tick, K)>>,
 }
 
 impl<K: Ord> TimerService<K> {
-    /// Creates a service without subscriptions.
+    /// Creates a service without timers.
     #[must_use]
     pub fn new() -> Self {
         TimerService { heap: BinaryHeap::new() }
     }
 
-    /// Adds a subscription that returns `key` at `at`.
+    /// Adds a timer that is due at `at` and then yields `key`.
     pub fn subscribe(&mut self, at: Tick, key: K) {
         self.heap.push(Reverse((at, key)));
     }
 
-    /// Returns the time of the earliest subscription.
+    /// Returns the time of the earliest timer, `None` if there is no timer.
     #[must_use]
     pub fn peek_next(&self) -> Option<Tick> {
         self.heap.peek().map(|Reverse((at, _))| *at)
     }
 
-    /// Removes and returns one subscription that is due at `now`.
+    /// Removes one timer that is due at `now` and returns its key, `None` if no timer is due.
     pub fn pop_due(&mut self, now: Tick) -> Option<K> {
         if self.peek_next()? > now {
             return None;
--- a/src/web.rs
+++ b/src/web.rs
@@ -159,7 +159,7 @@
     value.strip_prefix("Bearer ").map(str::trim)
 }
 
-/// Reason that a body could not be read.
+/// Reason why a body could not be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum BodyError {
     TooLarge,
@@ -215,7 +215,7 @@
     let handle = &handle;
     let service =
         service_fn(move |request| async move { Ok::<_, Infallible>(handle(request).await) });
-    // A connection error is ignored: the outcome of each request is handled on its own.
+    // A connection error is ignored: the outcome of each request is handled separately.
     let _ = hyper::server::conn::http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(HEADER_READ_TIMEOUT)
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -32,7 +32,7 @@
 /// Length of a data frame's header: kind, request number, attempt number and offset.
 const HEADER_LEN: usize = 1 + 8 + 2 + 8;
 
-/// Tokens that a request needs on an engine.
+/// Tokens that a request needs in an engine's memory (its KV cache).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TokenNeed {
     /// Estimated number of prompt tokens.
