--- a/tests/claims_rewrite.rs
+++ b/tests/claims_rewrite.rs
@@ -1,4 +1,4 @@
-//! Guards against a burst of writes after the store is restored from an old copy.
+//! Guards against a burst of writes after the store is restored from a backup.
 //!
 //! The fault: each entry that has read a log of claims rewrites all lost claims at once. One
 //! write per log would suffice, but the number of writes grows with the number of entries and
@@ -40,14 +40,14 @@
 
 async fn rewrite() {
     let store = StoreServer::start();
-    let copy = store.to_copy();
+    let backup = store.to_copy();
     let entries: Vec<_> = (0..ENTRIES).map(|_| ClaimEntry::new(&store)).collect();
     assert_eq!(entries[0].claim("first").await, ClaimOutcome::Won);
     for entry in &entries[1..] {
         assert_eq!(entry.claim("other").await, ClaimOutcome::Taken("first".into()));
     }
     store.set_fault(StoreFault { delay: Duration::from_millis(5), ..StoreFault::default() });
-    store.restore(copy);
+    store.restore(backup);
     let before = store.counts();
     // All entries learn of the restore at the same moment, when their watches of the
     // configuration end.
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -135,13 +135,13 @@
 }
 
 #[tokio::test]
-async fn a_planned_stop_of_an_entry_cuts_no_answer() {
+async fn a_draining_entry_cuts_no_answer() {
     let mut site = Site::start(1, 1, slow_engine()).await;
     let prompt = make_prompt(200, 1, 0, 4);
     let mut stream =
         open(site.callers(0), completion("pier-app", &prompt, 60)).await.expect("head");
     next_part(&mut stream).await.expect("a first part");
-    site.entries[0].request_stop();
+    site.entries[0].request_drain();
     let address = site.callers(0);
     wait_until("the entry reports that it is not ready", async || {
         let probe = call(address, request("GET", "/readyz", "", "")).await;
@@ -155,14 +155,14 @@
 }
 
 #[tokio::test]
-async fn a_planned_stop_of_an_agent_cuts_no_answer_and_accepts_no_new_work() {
+async fn a_draining_agent_cuts_no_answer_and_accepts_no_new_work() {
     let mut site = Site::start(1, 2, slow_engine()).await;
     let prompt = make_prompt(200, 1, 0, 5);
     let mut stream =
         open(site.callers(0), completion("pier-app", &prompt, 100)).await.expect("head");
     next_part(&mut stream).await.expect("a first part");
     let busy = site.engines.iter().position(|engine| engine.used() > 0).expect("a busy engine");
-    site.agents[busy].process.request_stop();
+    site.agents[busy].process.request_drain();
     // The platform's list still shows the target as live.
     for number in 0..6 {
         let prompt = make_prompt(100, 1, 0, 100 + number);
--- a/tests/restored_store.rs
+++ b/tests/restored_store.rs
@@ -1,9 +1,9 @@
-//! The store is restored from a copy that is some seconds old.
+//! The store is restored from a backup that is some seconds old.
 //!
 //! The tests guard against three faults. An entry that read the log of claims before the restore
 //! continues at its former position and leaves a gap. An entry that reads the log after the
 //! restore finds a key free under which a request has run. A configuration that was accepted
-//! after the copy was made stays in force and can not be replaced, because each change conflicts
+//! after the backup was made stays in force and can not be replaced, because each change conflicts
 //! with a stored version on which it is not based.
 
 mod support;
@@ -21,10 +21,10 @@
 #[tokio::test]
 async fn a_key_runs_once_although_its_claim_was_lost() {
     let site = Site::start(2, 1, EngineSpec::default()).await;
-    let copy = site.store.to_copy();
+    let backup = site.store.to_copy();
     let first = call(site.callers(0), keyed_order("boat-1", "key")).await.expect("answer");
     assert_eq!(first.status, 200);
-    site.store.restore(copy);
+    site.store.restore(backup);
     let mut codes = Vec::new();
     wait_until("the key is reported as taken", async || {
         let answer = call(site.callers(1), keyed_order("boat-1", "key")).await.expect("answer");
@@ -45,11 +45,11 @@
     let mut site = Site::start(1, 1, EngineSpec::default()).await;
     let early = call(site.callers(0), keyed_order("boat-0", "early")).await.expect("answer");
     assert_eq!(early.status, 200);
-    let copy = site.store.to_copy();
+    let backup = site.store.to_copy();
     let first = call(site.callers(0), keyed_order("boat-1", "key")).await.expect("answer");
     assert_eq!(first.status, 200);
     site.entries[0].freeze(true);
-    site.store.restore(copy);
+    site.store.restore(backup);
     site.add_entry(1);
     site.wait_ready(1).await;
     let answer = call(site.callers(1), keyed_order("boat-1", "key")).await.expect("answer");
@@ -73,12 +73,12 @@
         let answer = call(site.callers(0), keyed_order(&boat, &key)).await.expect("answer");
         assert_eq!(answer.status, 200);
     }
-    let copy = site.store.to_copy();
+    let backup = site.store.to_copy();
     for number in 0..40 {
         let (boat, key) = (format!("lost-{number}"), format!("lost-{number}"));
         call(site.callers(0), keyed_order(&boat, &key)).await.expect("answer");
     }
-    site.store.restore(copy);
+    site.store.restore(backup);
     for number in 0..40 {
         let (boat, key) = (format!("late-{number}"), format!("late-{number}"));
         wait_until("a new key can be claimed", async || {
@@ -100,7 +100,7 @@
 #[tokio::test]
 async fn a_configuration_lost_by_the_store_stays_in_force_and_can_be_replaced() {
     let site = Site::start(2, 1, EngineSpec::default()).await;
-    let copy = site.store.to_copy();
+    let backup = site.store.to_copy();
     let second = VALDIVIA.replace("weight = 3", "weight = 4");
     let applied = site.apply(&second, version(&site, 0).await).await;
     assert_eq!(applied.status, 200);
@@ -111,7 +111,7 @@
         })
         .await;
     }
-    site.store.restore(copy);
+    site.store.restore(backup);
     let third = VALDIVIA.replace("weight = 3", "weight = 5");
     let applied = site.apply(&third, second).await;
     assert_eq!(applied.status, 200, "{}", String::from_utf8_lossy(&applied.body));
--- a/tests/silence.rs
+++ b/tests/silence.rs
@@ -9,7 +9,7 @@
 use tower_service::Service;
 
 /// Time within which a silent connection must be closed, so that a watch is restarted within the
-/// bound for targets that leave.
+/// time limits that apply when a target leaves.
 const MAX_SILENCE: Duration = Duration::from_secs(3);
 
 #[tokio::test]
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -58,8 +58,8 @@
         assert!(status.success());
     }
 
-    /// Requests a planned stop.
-    pub fn request_stop(&self) {
+    /// Requests a drain, after which the process exits.
+    pub fn request_drain(&self) {
         self.signal("-TERM");
     }
 
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -17,9 +17,9 @@
 
 #[test]
 fn messages_survive_encoding_and_decoding() {
-    let mut builder = PrefixHasher::new("account");
-    builder.update(&vec![7; BLOCK_BYTES * 40]);
-    let marks = builder.into_hashes();
+    let mut hasher = PrefixHasher::new("account");
+    hasher.update(&vec![7; BLOCK_BYTES * 40]);
+    let hashes = hasher.into_hashes();
     let need = TokenNeed { prompt: 40_960, answer: 64 };
     let key = AttemptKey(9, 2);
     let to_agent = [
@@ -28,7 +28,7 @@
             model: "model".into(),
             need,
             urgency: Urgency::Batch,
-            prefix_hashes: marks.clone(),
+            prefix_hashes: hashes.clone(),
         }),
         ToAgent::Dispatch(Dispatch {
             attempt: key,
@@ -38,7 +38,7 @@
             weight: 2,
             urgency: Urgency::Normal,
             need,
-            prefix_hashes: marks,
+            prefix_hashes: hashes,
             body_len: 17,
             remaining_us: 1_000,
             shards: Vec::new(),
@@ -113,9 +113,9 @@
 fn accounts_share_no_prefix_hashes_and_a_long_prompt_has_few() {
     let text = vec![b'x'; 4_000_000];
     let hashes_of = |account: &str| {
-        let mut builder = PrefixHasher::new(account);
-        builder.update(&text);
-        builder.into_hashes()
+        let mut hasher = PrefixHasher::new(account);
+        hasher.update(&text);
+        hasher.into_hashes()
     };
     let (one, other) = (hashes_of("one"), hashes_of("other"));
     assert!(one.0.len() < 40, "{} prefix hashes", one.0.len());
