--- a/src/claim_store.rs
+++ b/src/claim_store.rs
@@ -75,9 +75,9 @@
 
     /// Claims a key for a request.
     pub async fn claim(&self, key: ClaimKey, request: String) -> ClaimOutcome {
-        let (answer_in, answer) = oneshot::channel();
+        let (answer_sender, answer) = oneshot::channel();
         let record = ClaimRecord { key, request, is_release: false };
-        self.send(PendingClaim { record, answer: Some(answer_in) });
+        self.send(PendingClaim { record, answer: Some(answer_sender) });
         answer.await.unwrap_or(ClaimOutcome::StoreUnreachable)
     }
 
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -96,9 +96,9 @@
 
 /// Creates the queues of a link.
 pub(crate) fn link_queue() -> (LinkSender, LinkQueue) {
-    let (control_in, control) = mpsc::channel(CONTROL_QUEUE_LEN);
-    let (body_in, body) = mpsc::channel(BODY_QUEUE_LEN);
-    (LinkSender { control: control_in, body: body_in }, LinkQueue { control, body })
+    let (control_sender, control) = mpsc::channel(CONTROL_QUEUE_LEN);
+    let (body_sender, body) = mpsc::channel(BODY_QUEUE_LEN);
+    (LinkSender { control: control_sender, body: body_sender }, LinkQueue { control, body })
 }
 
 impl LinkSender {
