--- a/standins/src/chaos/callers.rs
+++ b/standins/src/chaos/callers.rs
@@ -12,7 +12,7 @@
 use super::plan::{ARRIVAL_PERIOD_MS, REQUESTS};
 use crate::prompt::{make_prompt, prompt_hash, whole_answer};
 
-/// Tolerance for final answers after their deadline.
+/// Tolerance for replies after the deadline of their request.
 const DEADLINE_TOLERANCE: Duration = Duration::from_millis(20);
 
 /// A request of a caller.
--- a/standins/src/chaos/mod.rs
+++ b/standins/src/chaos/mod.rs
@@ -40,8 +40,8 @@
     let mut outcome = result.unwrap_or_else(|panic| {
         let text = panic.downcast_ref::<String>().cloned();
         let text = text.or_else(|| panic.downcast_ref::<&str>().map(|text| (*text).to_owned()));
-        let broken = vec![text.unwrap_or_else(|| "a core panicked".to_owned())];
-        ChaosOutcome { violations: broken, ..ChaosOutcome::default() }
+        let violations = vec![text.unwrap_or_else(|| "a core panicked".to_owned())];
+        ChaosOutcome { violations, ..ChaosOutcome::default() }
     });
     outcome.log = log.take().into();
     outcome
--- a/standins/src/chaos/plan.rs
+++ b/standins/src/chaos/plan.rs
@@ -49,7 +49,7 @@
     },
     /// An engine crashes and restarts without runs, reservations and cache.
     EngineCrash {
-        /// The engine.
+        /// The agent of the engine.
         agent: usize,
         /// Time until the restart, in milliseconds.
         down_ms: u64,
--- a/standins/src/chaos/world.rs
+++ b/standins/src/chaos/world.rs
@@ -132,7 +132,9 @@
     pub(super) is_open: bool,
     pub(super) drops_messages: bool,
     pub(super) open_sides: LinkSides,
+    /// Earliest time of the next delivery, so that messages to the agent keep their order.
     pub(super) next_agent_delivery: Tick,
+    /// Earliest time of the next delivery, so that messages to the entry keep their order.
     pub(super) next_entry_delivery: Tick,
 }
 
@@ -146,6 +148,7 @@
     pub(super) engine_down_until: Tick,
     pub(super) is_stepping: bool,
     pub(super) draining_since: Option<Tick>,
+    /// Attempts by the name of their run, each with the agent incarnation that started it.
     pub(super) attempts: BTreeMap<String, (u64, AttemptId)>,
 }
 
@@ -296,8 +299,8 @@
         for index in 0..world.callers.requests.len() {
             let request = world.callers.requests[index].clone();
             world.schedule_at(request.at + Duration::from_millis(50), Action::Arrive(index));
-            if let Some(gone) = request.leaves_at {
-                world.schedule_at(gone + Duration::from_millis(50), Action::CallerGone(index));
+            if let Some(leaves_at) = request.leaves_at {
+                world.schedule_at(leaves_at + Duration::from_millis(50), Action::CallerGone(index));
             }
         }
         for fault in &plan.faults {
@@ -331,9 +334,9 @@
             views.filter(|view| view.result.is_some_and(|result| result.is_ok() == is_ok)).count()
         };
         let (finished, failed) = (count_results(true), count_results(false));
-        let mut broken = self.violations;
-        broken.extend(self.callers.violations);
-        ChaosOutcome { violations: broken, log: Vec::new(), finished, failed }
+        let mut violations = self.violations;
+        violations.extend(self.callers.violations);
+        ChaosOutcome { violations, log: Vec::new(), finished, failed }
     }
 
     pub(super) fn schedule_at(&mut self, at: Tick, action: Action) {
