--- a/standins/src/compare.rs
+++ b/standins/src/compare.rs
@@ -31,7 +31,7 @@
     pub longest: f64,
     /// Requests that were refused or failed.
     pub not_finished: u64,
-    /// Broken guarantees: lost and wrong answers, double executions and leaked tokens.
+    /// Violations of guarantees: lost and wrong answers, double executions and leaked tokens.
     pub broken: u64,
 }
 
@@ -69,11 +69,11 @@
         short_slowdown: report.short_slowdown,
         longest: longest.as_secs_f64() * 1e3,
         not_finished: report.refused + report.failed,
-        broken: broken(&report),
+        broken: count_violations(&report),
     }
 }
 
-fn broken(report: &LoadReport) -> u64 {
+fn count_violations(report: &LoadReport) -> u64 {
     report.lost + report.doubled + report.mixed + report.leaked_tokens
 }
 
--- a/standins/src/fleet.rs
+++ b/standins/src/fleet.rs
@@ -174,8 +174,8 @@
         sender.send(daemon.addresses().expect("addresses")).expect("starter");
         daemon.run(stop_requested(stop)).await.expect("entry")
     });
-    let (callers, admin_address) = address.recv().expect("entry");
-    EntryThread { caller_address: callers, admin_address, daemon }
+    let (caller_address, admin_address) = address.recv().expect("entry");
+    EntryThread { caller_address, admin_address, daemon }
 }
 
 /// Starts an agent on free loopback ports.
--- a/standins/src/main.rs
+++ b/standins/src/main.rs
@@ -154,9 +154,9 @@
         }
         Some(Command::Replay(arguments)) => run_replay(&arguments),
         Some(Command::Control(arguments)) => {
-            let most = arguments.most.unwrap_or(2_400);
+            let max_entries = arguments.most.unwrap_or(2_400);
             let sizes = [30, 100, 201, 402, 804, 1_000, 2_400];
-            let sizes: Vec<usize> = sizes.into_iter().filter(|size| *size <= most).collect();
+            let sizes: Vec<usize> = sizes.into_iter().filter(|size| *size <= max_entries).collect();
             let figures = control::measure(&sizes, arguments.seed.unwrap_or(1));
             print_figures(arguments.json, &figures, &control::to_table(&figures))
         }
@@ -215,12 +215,12 @@
     }
     match run_seeds(first, end, None) {
         SeedsOutcome { violating_run: Some((seed, outcome)), .. } => {
-            print_broken_run(seed, &outcome);
+            print_violating_run(seed, &outcome);
             ExitCode::FAILURE
         }
         SeedsOutcome { finished, failed, .. } => {
             println!(
-                "seeds {first}..{end}: no guarantee broken; {finished} finished, {failed} failed"
+                "seeds {first}..{end}: no guarantee violated; {finished} finished, {failed} failed"
             );
             ExitCode::SUCCESS
         }
@@ -263,7 +263,7 @@
     checked.inspect_err(|error| eprintln!("{}: {error}", file.display())).ok()
 }
 
-fn print_broken_run(seed: u64, outcome: &ChaosOutcome) {
+fn print_violating_run(seed: u64, outcome: &ChaosOutcome) {
     for line in &outcome.log {
         println!("{line}");
     }
@@ -280,7 +280,7 @@
         let detected_by = run_seeds(first, end, Some(mutant)).violating_run;
         match &detected_by {
             Some((seed, outcome)) => {
-                println!("{mutant:?}: caught by seed {seed}: {}", outcome.violations[0]);
+                println!("{mutant:?}: detected by seed {seed}: {}", outcome.violations[0]);
             }
             None => println!("{mutant:?}: missed"),
         }
--- a/standins/src/report.rs
+++ b/standins/src/report.rs
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Returns `true` if no guarantee was broken and at least one request finished.
+    /// Returns `true` if no guarantee was violated and at least one request finished.
     #[must_use]
     pub fn is_clean(&self) -> bool {
         self.lost + self.doubled + self.mixed + self.leaked_tokens == 0 && self.finished > 0
