--- a/src/relay/peers/peer_message.rs
+++ b/src/relay/peers/peer_message.rs
@@ -122,7 +122,8 @@
         /// Identifies the request.
         nonce: u64,
         /// The requested permit.
-        ask: PermitRequest,
+        #[serde(rename = "ask")]
+        request: PermitRequest,
     },
     /// An entry asks for a retry from the shared retry budget, beyond its own budget.
     #[serde(rename = "b")]
@@ -130,7 +131,8 @@
         /// Identifies the request.
         nonce: u64,
         /// The requested retry.
-        ask: RetryGrantRequest,
+        #[serde(rename = "ask")]
+        request: RetryGrantRequest,
     },
     /// The answer to either request.
     #[serde(rename = "n")]
--- a/src/relay/peers/subscriber_set.rs
+++ b/src/relay/peers/subscriber_set.rs
@@ -113,15 +113,15 @@
                 self.permits.apply_updates(updates, now);
                 Vec::new()
             }
-            PeerMessage::RequestPermit { nonce, ask } => {
-                let reply = self.permits.on_request(ask, now);
+            PeerMessage::RequestPermit { nonce, request } => {
+                let reply = self.permits.on_request(request, now);
                 vec![OutboundMessage {
                     to: from,
                     message: PeerMessage::AnswerPermit { nonce: *nonce, reply },
                 }]
             }
-            PeerMessage::RequestRetryGrant { nonce, ask } => {
-                let reply = self.retry_budget.on_request(ask, now);
+            PeerMessage::RequestRetryGrant { nonce, request } => {
+                let reply = self.retry_budget.on_request(request, now);
                 vec![OutboundMessage {
                     to: from,
                     message: PeerMessage::AnswerPermit { nonce: *nonce, reply },
--- a/src/relay/proxy/permit.rs
+++ b/src/relay/proxy/permit.rs
@@ -31,7 +31,7 @@
     let max_permit_wait = series.max_permit_wait(job, now);
     let query = shared.core.borrow().permit_query(placement, max_permit_wait, now);
     let Some(query) = query else { return true };
-    let message = |nonce| PeerMessage::RequestPermit { nonce, ask: query.request.clone() };
+    let message = |nonce| PeerMessage::RequestPermit { nonce, request: query.request.clone() };
     let reply = match query.agent_host {
         Some(address) => call_agent(shared, address, message).await,
         None => None,
@@ -59,7 +59,8 @@
     };
     let mut reply = None;
     for query in queries {
-        let message = |nonce| PeerMessage::RequestRetryGrant { nonce, ask: query.request.clone() };
+        let message =
+            |nonce| PeerMessage::RequestRetryGrant { nonce, request: query.request.clone() };
         reply = call_agent(shared, query.agent_host, message).await;
         if reply.is_some() {
             break;
--- a/tests/relay/warmups.rs
+++ b/tests/relay/warmups.rs
@@ -161,9 +161,9 @@
     core.apply_change(listed(Some(2_000), 0), at(10));
     let placement =
         core.place("engines", Some(&need(5_000)), TargetScope::Untried(&[]), at(20)).unwrap();
-    let ask = core.permit_query(&placement, ms(0), at(20)).unwrap().request;
-    assert_eq!(ask.warmup.unwrap().left_ms, 1_990);
-    let message = PeerMessage::RequestPermit { nonce: 7, ask };
+    let request = core.permit_query(&placement, ms(0), at(20)).unwrap().request;
+    assert_eq!(request.warmup.unwrap().left_ms, 1_990);
+    let message = PeerMessage::RequestPermit { nonce: 7, request };
     let bytes = message.to_bytes().unwrap();
     assert!(bytes.len() <= 400, "{} bytes", bytes.len());
     assert_eq!(PeerMessage::from_bytes(&bytes).unwrap(), message);
