--- a/src/relay/core/attempts.rs
+++ b/src/relay/core/attempts.rs
@@ -213,7 +213,7 @@
     }
 
     /// Records an event that its engine sent at the end of a forward pass.
-    pub fn record_pass(&mut self, target: &str, now: Tick) {
+    pub fn record_pass_end(&mut self, target: &str, now: Tick) {
         if let Some(model) = self.model(target) {
             model.record_pass_end(now);
         }
--- a/src/relay/proxy/stream.rs
+++ b/src/relay/proxy/stream.rs
@@ -242,7 +242,7 @@
     // pass.
     while let Some(frame) = next_frame(shared, job, &guard.attempt, &mut body, may_hedge).await? {
         if progress.first_event_at.is_some() {
-            shared.core.borrow_mut().record_pass(&target, shared.now());
+            shared.core.borrow_mut().record_pass_end(&target, shared.now());
         } else {
             shared.core.borrow_mut().record_first_event(&guard.attempt, shared.now());
         }
--- a/standins/src/replay/world.rs
+++ b/standins/src/replay/world.rs
@@ -398,7 +398,7 @@
             Some(last) => {
                 let pause = self.now.since(last);
                 request.outcome.longest_pause = request.outcome.longest_pause.max(pause);
-                core.record_pass(&placed.target, self.now);
+                core.record_pass_end(&placed.target, self.now);
             }
         }
         request.events_left -= 1;
