--- a/src/relay/core/target_list.rs
+++ b/src/relay/core/target_list.rs
@@ -120,7 +120,7 @@
             let service = self.rules.service(&target.record.service);
             let warmup = service.and_then(|service| service.warmup);
             target.warmup_limit = warmup.map(|rule| WarmupLimit {
-                span: rule.span,
+                duration: rule.duration,
                 rate: bound.to_rate(rule, SEND_WINDOW),
             });
             if let Some(rates) = service.and_then(|service| service.engine.as_ref()) {
--- a/src/relay/decide/target_state.rs
+++ b/src/relay/decide/target_state.rs
@@ -222,7 +222,7 @@
     #[must_use]
     pub fn warmup(&self, now: Tick) -> Option<(RateLimit, Duration)> {
         let limit = self.warmup_limit?;
-        let remaining = self.warmup.time_left(limit.span, now);
+        let remaining = self.warmup.time_left(limit.duration, now);
         (!remaining.is_zero()).then_some((limit.rate, remaining))
     }
 
--- a/src/relay/decide/warmup.rs
+++ b/src/relay/decide/warmup.rs
@@ -21,7 +21,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WarmupRule {
     /// Time after its start for which a target is cold.
-    pub span: Duration,
+    #[serde(rename = "span")]
+    pub duration: Duration,
     /// Requests per second that it can handle meanwhile.
     pub per_second: f64,
 }
@@ -59,7 +60,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WarmupLimit {
     /// How long the target is cold if it states nothing else.
-    pub span: Duration,
+    pub duration: Duration,
     /// Requests per second from all entries together.
     pub rate: RateLimit,
 }
--- a/tests/relay/warmups.rs
+++ b/tests/relay/warmups.rs
@@ -24,7 +24,7 @@
 
 use crate::fixture::{at, limits, ms, name, need, rates, record};
 
-const RULE: WarmupRule = WarmupRule { span: Duration::from_secs(3), per_second: 32.0 };
+const RULE: WarmupRule = WarmupRule { duration: Duration::from_secs(3), per_second: 32.0 };
 const BOUND: WarmupBound = WarmupBound { overrun: 1.5, slack: 5.0 };
 
 /// Maximum number of requests in any second by the bound.
