--- a/src/agent/target.rs
+++ b/src/agent/target.rs
@@ -197,7 +197,7 @@
         let known: BTreeSet<String> =
             self.runs.keys().chain(&leased).map(AttemptId::to_string).collect();
         for orphan in holdings.iter().filter(|holding| !known.contains(&holding.id)) {
-            if is_on(Mutant::StraysOff) {
+            if is_on(Mutant::OrphansOff) {
                 return;
             }
             self.counts.orphans += 1;
--- a/src/mutant.rs
+++ b/src/mutant.rs
@@ -17,7 +17,7 @@
     /// Agents end neither cancelled runs nor those of disconnected entries.
     CancelOff,
     /// Agents do not cancel orphaned runs at the engine.
-    StraysOff,
+    OrphansOff,
     /// Entries join chunks of answers without regard to their offsets.
     OffsetOff,
     /// Entries retry regardless of the verdict.
@@ -37,7 +37,7 @@
         Mutant::TombstoneOff,
         Mutant::ExpiryOff,
         Mutant::CancelOff,
-        Mutant::StraysOff,
+        Mutant::OrphansOff,
         Mutant::OffsetOff,
         Mutant::VerdictOff,
         Mutant::LeavingOff,
