--- a/src/relay/record.rs
+++ b/src/relay/record.rs
@@ -394,7 +394,7 @@
 
     /// Logs that the store was restored from a backup.
     pub fn epoch_changed(&self, before: u64, epoch: u64) {
-        warn!(self.logger, "store back from a copy"; "epoch_before" => before, "epoch" => epoch);
+        warn!(self.logger, "store restored from a backup"; "epoch_before" => before, "epoch" => epoch);
     }
 
     /// Logs that the store holds an earlier configuration than the one in force, or no longer does.
