--- a/src/agent/queue.rs
+++ b/src/agent/queue.rs
@@ -10,7 +10,7 @@
 /// Head start of an interactive request over a normal one, and of a normal
 /// one over a batch one. A request that has waited for that much longer goes
 /// first, so no request starves.
-const URGENCY_STEP: Duration = Duration::from_secs(2);
+const URGENCY_HEAD_START: Duration = Duration::from_secs(2);
 
 /// Maximum rank penalty of an account that received more than its fair share.
 const MAX_LAG: Duration = Duration::from_secs(4);
@@ -61,6 +61,6 @@
         Urgency::Normal => 1,
         Urgency::Batch => 2,
     };
-    let penalty = URGENCY_STEP * steps + penalty;
+    let penalty = URGENCY_HEAD_START * steps + penalty;
     penalty.as_micros() as i64 - now.since(since).as_micros() as i64
 }
--- a/src/relay/decide/permit_issuer.rs
+++ b/src/relay/decide/permit_issuer.rs
@@ -77,8 +77,8 @@
     Open,
 }
 
-/// Maximum wait returned to a refused entry: other entries may have no more requests by then.
-const MAX_WAIT: Duration = Duration::from_secs(10);
+/// Maximum retry delay of a refused entry: other entries may have no more requests by then.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(10);
 
 /// When the permits of one target are due.
 #[derive(Debug)]
@@ -111,7 +111,7 @@
         self.next_at = self.next_at.max(now - self.interval);
         let wait = self.next_at.since(now);
         if wait > max_wait {
-            let retry_at = self.retry_at.max(self.next_at).min(now + MAX_WAIT);
+            let retry_at = self.retry_at.max(self.next_at).min(now + MAX_RETRY_DELAY);
             self.retry_at = retry_at + self.interval;
             return PermitReply::Refused { wait_ms: to_millis(retry_at.since(now)) };
         }
--- a/src/relay/decide/quarantine.rs
+++ b/src/relay/decide/quarantine.rs
@@ -313,7 +313,9 @@
             .collect();
         let is_shared = || {
             let mut others = self.suspects.iter().filter(|(other, _)| *other != digest);
-            others.any(|(_, other)| unexplained.iter().all(|one| other.instances.contains(one)))
+            others.any(|(_, other)| {
+                unexplained.iter().all(|instance| other.instances.contains(instance))
+            })
         };
         unexplained.len() >= MIN_SHARED_CRASHES
             || (unexplained.len() >= MIN_CRASHES && !is_shared())
--- a/src/relay/discovery/follow_targets.rs
+++ b/src/relay/discovery/follow_targets.rs
@@ -8,7 +8,7 @@
 use super::source::{DiscoverySource, TargetWatch};
 use super::store_revision::StoreRevision;
 use super::target_list_sync::{TargetListUpdate, UpdateAnnouncer};
-use super::watch_timing::{MAX_WATCH_WAIT, list_watch_delay};
+use super::watch_timing::{MAX_WATCH_TIMEOUT, list_watch_delay};
 use crate::relay::core::target_list::WatchedChanges;
 use crate::relay::counts::StoreCall;
 use crate::relay::peers::peer_message::PeerMessage;
@@ -143,7 +143,7 @@
                 // The read was under way while the store was restored from a backup.
                 return None;
             }
-            let is_after_outage = now.since(received_at) > MAX_WATCH_WAIT + OUTAGE_THRESHOLD;
+            let is_after_outage = now.since(received_at) > MAX_WATCH_TIMEOUT + OUTAGE_THRESHOLD;
             let is_after_outage = is_after_outage || shared.was_store_unreachable(now);
             shared.log.entries_unreadable(&list.unreadable, now);
             let (change, update) =
--- a/src/relay/discovery/watch_timing.rs
+++ b/src/relay/discovery/watch_timing.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 /// Longest wait of one watch: each is billed as a call.
-pub const MAX_WATCH_WAIT: Duration = Duration::from_secs(25);
+pub const MAX_WATCH_TIMEOUT: Duration = Duration::from_secs(25);
 
 /// Fraction of the store's history that a watch waits. The remainder covers the answer's
 /// transmission, the delay between two watches, and a store that forgets a little sooner.
@@ -45,7 +45,7 @@
 /// Returns the longest wait of a watch of a store that remembers `history`.
 #[must_use]
 pub fn watch_timeout(history: Duration) -> Duration {
-    MAX_WATCH_WAIT.min(history.mul_f64(HISTORY_FRACTION))
+    MAX_WATCH_TIMEOUT.min(history.mul_f64(HISTORY_FRACTION))
 }
 
 /// Returns the delay before the store is read, after a watch that lasted for `lasted`. Without it,
--- a/src/relay/peers/subscriber_set.rs
+++ b/src/relay/peers/subscriber_set.rs
@@ -217,15 +217,15 @@
     /// Drops entries whose subscription has expired, and returns the messages to be sent.
     pub fn expire(&mut self, now: Tick) -> Vec<OutboundMessage> {
         self.permits.expire(now);
-        let gone: Vec<u64> = self
+        let expired: Vec<u64> = self
             .subscribers
             .values()
             .filter(|subscriber| now.since(subscriber.received_at) > SUBSCRIBER_TTL)
             .map(|subscriber| subscriber.entry)
             .collect();
-        self.subscribers.retain(|_, subscriber| !gone.contains(&subscriber.entry));
+        self.subscribers.retain(|_, subscriber| !expired.contains(&subscriber.entry));
         self.sent_rates.retain(|from, _| self.subscribers.contains_key(from));
-        gone.into_iter().flat_map(|entry| self.drop_entry(entry)).collect()
+        expired.into_iter().flat_map(|entry| self.drop_entry(entry)).collect()
     }
 
     /// Drops the streams of an entry: they ended with their connections.
--- a/standins/src/chaos/agents.rs
+++ b/standins/src/chaos/agents.rs
@@ -88,8 +88,9 @@
         self.log_line(&format!("agent {agent} stopped after its drain"));
         // Runs started by an earlier incarnation's calls are not this incarnation's own.
         let node = &self.agents[agent];
-        let is_own =
-            |name: &String| node.attempts.get(name).is_some_and(|one| one.0 == node.incarnation);
+        let is_own = |name: &String| {
+            node.attempts.get(name).is_some_and(|attempt| attempt.0 == node.incarnation)
+        };
         if node.engine.runs().iter().any(is_own) {
             self.violations.push(format!("agent {agent} stopped before its runs ended"));
         }
--- a/standins/src/chaos/arrivals.rs
+++ b/standins/src/chaos/arrivals.rs
@@ -57,8 +57,8 @@
 }
 
 fn to_arrival(number: u64, request: &CallerRequest, policy: Rc<AccountPolicy>) -> Arrival {
-    let mut marks = PrefixHasher::new(&policy.name);
-    marks.update(request.prompt.as_bytes());
+    let mut hasher = PrefixHasher::new(&policy.name);
+    hasher.update(request.prompt.as_bytes());
     let (service, call) = if request.is_order() {
         let call = Call::Plain {
             method: "POST".into(),
@@ -77,7 +77,7 @@
         call,
         prompt_bytes: request.prompt.len() as u64,
         max_answer_tokens: if request.is_order() { 0 } else { request.answer },
-        prefix_hashes: marks.into_hashes(),
+        prefix_hashes: hasher.into_hashes(),
         body: request.prompt.clone().into(),
         repeatable: request.repeatable,
     }
--- a/standins/src/chaos/world.rs
+++ b/standins/src/chaos/world.rs
@@ -296,8 +296,8 @@
         for index in 0..world.callers.requests.len() {
             let request = world.callers.requests[index].clone();
             world.schedule_at(request.at + Duration::from_millis(50), Action::Arrive(index));
-            if let Some(gone) = request.leaves_at {
-                world.schedule_at(gone + Duration::from_millis(50), Action::CallerGone(index));
+            if let Some(leaves_at) = request.leaves_at {
+                world.schedule_at(leaves_at + Duration::from_millis(50), Action::CallerGone(index));
             }
         }
         for fault in &plan.faults {
--- a/standins/src/slopes.rs
+++ b/standins/src/slopes.rs
@@ -197,8 +197,8 @@
 
 fn new_arrival(number: u64, policy: &Rc<AccountPolicy>) -> Arrival {
     let prompt = crate::prompt::make_prompt(2_000, number % 4, 1_000, number);
-    let mut marks = PrefixHasher::new(&policy.name);
-    marks.update(prompt.as_bytes());
+    let mut hasher = PrefixHasher::new(&policy.name);
+    hasher.update(prompt.as_bytes());
     Arrival {
         number,
         policy: policy.clone(),
@@ -206,7 +206,7 @@
         call: Call::Model { model: "canal-8b".into(), path: "/v1/completions".into() },
         prompt_bytes: prompt.len() as u64,
         max_answer_tokens: 64,
-        prefix_hashes: marks.into_hashes(),
+        prefix_hashes: hasher.into_hashes(),
         body: prompt.into(),
         repeatable: true,
     }
@@ -327,7 +327,7 @@
         weight: 1,
         urgency: Urgency::Interactive,
         need: shalelane::wire::TokenNeed { prompt: 2_000, answer: 64 },
-        prefix_hashes: sample_marks(2_000),
+        prefix_hashes: sample_hashes(2_000),
         body_len: 0,
         remaining_us: 20_000_000,
         shards: Vec::new(),
@@ -335,10 +335,10 @@
     }
 }
 
-fn sample_marks(tokens: u64) -> PrefixHashes {
-    let mut marks = PrefixHasher::new("account-0001");
-    marks.update(crate::prompt::make_prompt(tokens, 1, 100, 1).as_bytes());
-    marks.into_hashes()
+fn sample_hashes(tokens: u64) -> PrefixHashes {
+    let mut hasher = PrefixHasher::new("account-0001");
+    hasher.update(crate::prompt::make_prompt(tokens, 1, 100, 1).as_bytes());
+    hasher.into_hashes()
 }
 
 fn open_runs(core: &mut AgentCore, runs: usize) {
@@ -371,7 +371,7 @@
         model: "canal-8b".into(),
         need: shalelane::wire::TokenNeed { prompt: tokens, answer: 64 },
         urgency: Urgency::Interactive,
-        prefix_hashes: sample_marks(tokens),
+        prefix_hashes: sample_hashes(tokens),
     }
 }
 
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -19,7 +19,7 @@
 fn messages_survive_encoding_and_decoding() {
     let mut builder = PrefixHasher::new("account");
     builder.update(&vec![7; BLOCK_BYTES * 40]);
-    let marks = builder.into_hashes();
+    let hashes = builder.into_hashes();
     let need = TokenNeed { prompt: 40_960, answer: 64 };
     let key = AttemptKey(9, 2);
     let to_agent = [
@@ -28,7 +28,7 @@
             model: "model".into(),
             need,
             urgency: Urgency::Batch,
-            prefix_hashes: marks.clone(),
+            prefix_hashes: hashes.clone(),
         }),
         ToAgent::Dispatch(Dispatch {
             attempt: key,
@@ -38,7 +38,7 @@
             weight: 2,
             urgency: Urgency::Normal,
             need,
-            prefix_hashes: marks,
+            prefix_hashes: hashes,
             body_len: 17,
             remaining_us: 1_000,
             shards: Vec::new(),
