--- a/src/host_list.rs
+++ b/src/host_list.rs
@@ -9,7 +9,7 @@
 use crate::error::{Error, ErrorCode, Result};
 use crate::hosts::HostDelta;
 
-/// Time-out of a call.
+/// Timeout of a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Client of the platform's list of hosts.
--- a/src/relay/discovery/proof_sync.rs
+++ b/src/relay/discovery/proof_sync.rs
@@ -134,7 +134,7 @@
     }
 
     /// Returns the entry to query, if its proof is sufficiently newer than the local one. It is
-    /// queried once: then its proof has to be reported anew.
+    /// queried once: then its proof has to be reported again.
     pub fn next_query(&mut self, nonce: u64, proven_at: Tick, now: Tick) -> Option<SocketAddr> {
         let best = self.best.take().filter(|best| best.proven_at >= proven_at + MIN_GAIN)?;
         self.query = Some(OpenQuery { nonce, sent_at: now });
--- a/src/relay/proxy/connections.rs
+++ b/src/relay/proxy/connections.rs
@@ -20,10 +20,10 @@
 /// than a lost first packet costs.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Idle time-out of a pooled connection if the target states none.
+/// Idle timeout of a pooled connection if the target states none.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Fraction of the stated idle time-out for which a connection is kept: the target starts counting
+/// Fraction of the stated idle timeout for which a connection is kept: the target starts counting
 /// earlier than this process does.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.6;
 
--- a/src/relay/proxy/forward.rs
+++ b/src/relay/proxy/forward.rs
@@ -38,7 +38,7 @@
 /// Fraction of the objective of a plain call after which another target is tried.
 const HEDGE_FRACTION: f64 = 0.8;
 
-/// A waiting prompt is placed anew after its objective divided by this: that is one or two forward
+/// A waiting prompt is placed again after its objective divided by this: that is one or two forward
 /// passes for long prompts, and each decision costs a small host some milliseconds.
 const PLACEMENT_DIVISOR: u32 = 30;
 
@@ -115,7 +115,7 @@
         (self.arrived + self.route.objective).min(self.deadline).since(now)
     }
 
-    /// Returns the interval at which a waiting prompt is placed anew.
+    /// Returns the interval at which a waiting prompt is placed again.
     pub(crate) fn placement_interval(&self) -> Duration {
         self.route.objective / PLACEMENT_DIVISOR
     }
--- a/src/relay/proxy/memory_hold.rs
+++ b/src/relay/proxy/memory_hold.rs
@@ -28,7 +28,7 @@
 /// Interval between renewals; two renewals in a row may be lost.
 const RENEW_INTERVAL: Duration = Duration::from_millis(600);
 
-/// Time-out of a reservation call: a few round trips between failure domains.
+/// Timeout of a reservation call: a few round trips between failure domains.
 const CALL_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Number of attempts to release a reservation; after that it expires by itself.
--- a/src/relay/proxy/permit.rs
+++ b/src/relay/proxy/permit.rs
@@ -16,11 +16,11 @@
 use crate::relay::peers::peer_message::PeerMessage;
 use crate::relay::shared::RelayShared;
 
-/// Time-out of a reply: some round trips between failure domains, and a slow host.
+/// Timeout of a reply: some round trips between failure domains, and a slow host.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(80);
 
 /// Waits for a permit to send the request if its target is rate-limited. Returns `false` if the
-/// request must be placed anew.
+/// request must be placed again.
 pub(crate) async fn acquire_permit(
     shared: &Rc<RelayShared>,
     job: &RelayJob,
--- a/src/silence.rs
+++ b/src/silence.rs
@@ -1,9 +1,9 @@
 //! Detection of silent connections, on which neither data nor a reset arrives any more.
 //!
-//! A call with a time-out ends by that. A watch that waits for half a minute would not, so the
+//! A call with a timeout ends by that. A watch that waits for half a minute would not, so the
 //! kernel sends keep-alive probes and closes the connection if they are not answered. Connections
 //! that carry answers of targets have no keep-alive probes: an answer that the network delays may
-//! still arrive, and requests that can go to another target do so after their own time-outs.
+//! still arrive, and requests that can go to another target do so after their own timeouts.
 
 use std::io;
 use std::time::Duration;
@@ -19,7 +19,7 @@
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Number of unanswered keep-alive probes that close a connection. With the times above, a
-/// connection is closed three seconds after its last byte, or earlier by the time-out below. This
+/// connection is closed three seconds after its last byte, or earlier by the timeout below. This
 /// is within the bounds for targets that leave.
 const KEEPALIVE_RETRIES: u32 = 2;
 
