--- a/src/relay/decide/retry_budget.rs
+++ b/src/relay/decide/retry_budget.rs
@@ -35,7 +35,7 @@
     /// When the last retry was made without a grant because no agent answered.
     ungranted_at: Option<Tick>,
     /// When an agent may be asked for a grant again.
-    ask_at: Tick,
+    request_at: Tick,
 }
 
 impl RetryBudget {
@@ -47,7 +47,7 @@
             requests: VecDeque::new(),
             retries: VecDeque::new(),
             ungranted_at: None,
-            ask_at: Tick::default(),
+            request_at: Tick::default(),
         }
     }
 
@@ -87,12 +87,12 @@
     /// Returns `true` if an agent may be asked for a grant.
     #[must_use]
     pub fn may_request(&self, now: Tick) -> bool {
-        now >= self.ask_at
+        now >= self.request_at
     }
 
     /// Records that agents grant no retry until the given time.
     pub fn record_refusal(&mut self, until: Tick) {
-        self.ask_at = until;
+        self.request_at = until;
     }
 
     /// Spends a retry if no agent answers: one in each window, so that a fleet without agents
--- a/src/relay/decide/targets.rs
+++ b/src/relay/decide/targets.rs
@@ -251,13 +251,13 @@
 
     fn remove_missing(&mut self, now: Tick, change: &mut ListChange) {
         self.targets.retain(|name, target| {
-            let is_gone = target.remove_at.is_some_and(|at| now >= at);
-            if is_gone {
+            let is_removed = target.remove_at.is_some_and(|at| now >= at);
+            if is_removed {
                 self.notices.insert(&target.record, target.announced, now);
                 change.removed.push(name.clone());
                 change.crashed.extend(target.to_crashed());
             }
-            !is_gone
+            !is_removed
         });
         if !change.removed.is_empty() {
             self.mark_superseded(change);
--- a/tests/relay/proofs.rs
+++ b/tests/relay/proofs.rs
@@ -226,12 +226,12 @@
 fn a_fleet_reads_the_store_a_few_times() {
     const ENTRIES: u64 = 100;
     const STEP: u64 = 10;
-    const SPAN: u64 = 60_000;
+    const DURATION: u64 = 60_000;
     let mut cores: Vec<_> = (0..ENTRIES).map(|number| entry(number, 5, at(0))).collect();
     let age = |core: &RelayCore| ProofSync::refresh_age(core.lease().duration());
     let mut due: Vec<_> = cores.iter().map(|core| at(0) + age(core)).collect();
     let mut reads = 0;
-    for now in (0..SPAN).step_by(STEP as usize).map(at) {
+    for now in (0..DURATION).step_by(STEP as usize).map(at) {
         for number in 0..cores.len() {
             if due[number] > now {
                 continue;
--- a/tests/relay/target_list_updates.rs
+++ b/tests/relay/target_list_updates.rs
@@ -287,10 +287,10 @@
 /// request 2,025 ms later.
 #[test]
 fn an_entry_that_never_lost_the_store_applies_a_removal_at_once() {
-    let (mut turned_away, mut other) = (entry_with_two_targets(), entry_with_two_targets());
+    let (mut refused, mut other) = (entry_with_two_targets(), entry_with_two_targets());
     let changes = vec![TargetChange::Removed(name("b"))];
     let (change, update) =
-        turned_away.apply_watched(watched(changes, 5, 9, at(13_000)), true, at(13_070));
+        refused.apply_watched(watched(changes, 5, 9, at(13_000)), true, at(13_070));
     assert_eq!(change.removed, [], "it may come back");
     let change = other.apply_list_update(&update.unwrap(), false, at(13_072));
     assert_eq!(change.removed, [name("b")]);
