--- a/src/agent/queue.rs
+++ b/src/agent/queue.rs
@@ -10,7 +10,7 @@
 /// Head start of an interactive request over a normal one, and of a normal
 /// one over a batch one. A request that has waited for that much longer goes
 /// first, so no request starves.
-const URGENCY_STEP: Duration = Duration::from_secs(2);
+const URGENCY_HEAD_START: Duration = Duration::from_secs(2);
 
 /// Maximum rank penalty of an account that received more than its fair share.
 const MAX_LAG: Duration = Duration::from_secs(4);
@@ -22,6 +22,7 @@
 #[derive(Debug, Default)]
 pub struct FairShare {
     served: HashMap<Arc<str>, u64>,
+    /// Work, in microseconds divided by the account's weight, from which lags are counted.
     floor: u64,
 }
 
@@ -33,7 +34,7 @@
         self.served.insert(account.clone(), start + cost);
     }
 
-    /// Raises the floor to the least served account among those that wait now,
+    /// Raises the floor to the least work charged to any account that waits now,
     /// so that an idle account accumulates no credit.
     pub fn raise_floor<'a>(&mut self, waiting: impl Iterator<Item = &'a Arc<str>>) {
         let least = waiting.map(|account| self.served.get(account).copied().unwrap_or(0)).min();
@@ -60,6 +61,6 @@
         Urgency::Normal => 1,
         Urgency::Batch => 2,
     };
-    let penalty = URGENCY_STEP * steps + penalty;
+    let penalty = URGENCY_HEAD_START * steps + penalty;
     penalty.as_micros() as i64 - now.since(since).as_micros() as i64
 }
